--- a/src/platform/first_line.rs
+++ b/src/platform/first_line.rs
@@ -1,98 +1,105 @@
-//! A client's first line: what it asks for, or why it is refused.
+//! Reads a client's first line into a request, or into the error that the client is answered with.
 
-use super::parse::{self, First, Open};
-use super::{LINE, Names};
+use super::parse::{self, ClientLine, OpenLine};
+use super::{MAX_LINE_BYTES, Names};
 use crate::api::{AffinityKey, ClassId, Millis, TenantId};
 use crate::broker::{Ask, Bad, Coming};
 use crate::pool::name_hash;
 
-/// `d` runs from when the client sent its line: kept back for the way here and for that of the answer. Guards
-/// against a process that is not run for a moment: with 15 ms one answer in a day came too late.
-const MARGIN_MS: Millis = 100.0;
-/// So much of a line that can't be taken is shown in the log.
-const SHOWN: usize = 120;
+/// Subtracted from `d`, which counts from when the client sent its line, to cover the transit of the line and
+/// of the answer. Allows for a node process that is not scheduled for a moment: with 15 ms one answer a day
+/// was late.
+const ANSWER_MARGIN_MS: Millis = 100.0;
+/// Characters of an invalid line that are logged.
+const MAX_LOGGED_CHARS: usize = 120;
 
-/// What a client asks for.
+/// A client's request.
 pub(super) enum FirstLine {
-    /// Whether the node is ready.
+    /// Readiness check.
     Ping,
-    /// A connection; the line goes on to a member.
+    /// A connection to a pool member.
     Open {
-        /// The line as it came, without its end.
+        /// The line as received, without its line end; it is forwarded to the member.
         line: String,
-        /// What it asks for.
+        /// The request for the broker.
         ask: Box<Ask>,
     },
 }
 
-/// Why a client is refused before it is served.
-pub(super) struct Refused {
-    pub(super) bad: Bad,
-    /// What the client and the log are told.
-    pub(super) what: &'static str,
-    /// What the log is told beside.
+/// Why a client is answered `ERR` before the broker sees its request.
+pub(super) struct FirstLineError {
+    pub(super) kind: Bad,
+    /// Sent to the client and logged.
+    pub(super) message: &'static str,
+    /// Only logged.
     pub(super) detail: String,
 }
 
-impl Refused {
-    fn new(bad: Bad, what: &'static str, detail: String) -> Self {
-        Refused { bad, what, detail }
+impl FirstLineError {
+    fn new(kind: Bad, message: &'static str, detail: String) -> Self {
+        FirstLineError { kind, message, detail }
     }
 
     fn too_long(bytes: usize) -> Self {
-        Refused::new(Bad::TooLong, "first line too long", format!("{bytes} bytes"))
+        FirstLineError::new(Bad::TooLong, "first line too long", format!("{bytes} bytes"))
     }
 
-    /// Escaped: what is shown must not break the log's own lines.
-    fn showing(bad: Bad, what: &'static str, line: &[u8]) -> Self {
-        Refused::new(bad, what, line.escape_ascii().to_string().chars().take(SHOWN).collect())
+    /// An error that logs the start of the line, escaped so that it can't break the lines of the log.
+    fn with_line(kind: Bad, message: &'static str, line: &[u8]) -> Self {
+        FirstLineError::new(
+            kind,
+            message,
+            line.escape_ascii().to_string().chars().take(MAX_LOGGED_CHARS).collect(),
+        )
     }
 
     fn malformed(line: &[u8]) -> Self {
-        Refused::showing(Bad::Malformed, "malformed first line", line)
+        FirstLineError::with_line(Bad::Malformed, "malformed first line", line)
     }
 }
 
-/// Takes the first line out of what a client has sent, without its end; none yet if it is not whole.
-pub(super) fn take(from_client: &mut Vec<u8>) -> Result<Option<Vec<u8>>, Refused> {
+/// Removes the first line from the received bytes and returns it without its line end; `None` if it is
+/// incomplete.
+pub(super) fn take(from_client: &mut Vec<u8>) -> Result<Option<Vec<u8>>, FirstLineError> {
     let Some(end) = from_client.iter().position(|b| *b == b'\n') else {
         let bytes = from_client.len();
-        return if bytes > LINE { Err(Refused::too_long(bytes)) } else { Ok(None) };
+        return if bytes > MAX_LINE_BYTES { Err(FirstLineError::too_long(bytes)) } else { Ok(None) };
     };
     let mut line: Vec<u8> = from_client.drain(..=end).collect();
     line.pop();
     if line.last() == Some(&b'\r') {
         line.pop();
     }
-    if line.len() + 2 > LINE {
-        return Err(Refused::too_long(line.len()));
+    if line.len() + 2 > MAX_LINE_BYTES {
+        return Err(FirstLineError::too_long(line.len()));
     }
     Ok(Some(line))
 }
 
-/// Reads a first line.
-pub(super) fn read(line: &[u8], names: &Names) -> Result<FirstLine, Refused> {
-    let text = std::str::from_utf8(line).map_err(|_| Refused::malformed(line))?;
-    match parse::first(text) {
-        None => Err(Refused::malformed(line)),
-        Some(First::Ping) => Ok(FirstLine::Ping),
-        Some(First::Open(open)) => {
-            let ask = Box::new(ask(&open, names, line)?);
+/// Parses a first line and resolves its names against the settings.
+pub(super) fn read(line: &[u8], settings: &Names) -> Result<FirstLine, FirstLineError> {
+    let text = std::str::from_utf8(line).map_err(|_| FirstLineError::malformed(line))?;
+    match parse::client_line(text) {
+        None => Err(FirstLineError::malformed(line)),
+        Some(ClientLine::Ping) => Ok(FirstLine::Ping),
+        Some(ClientLine::Open(open)) => {
+            let ask = Box::new(ask(&open, settings, line)?);
             Ok(FirstLine::Open { line: text.to_owned(), ask })
         }
     }
 }
 
-fn ask(open: &Open<'_>, names: &Names, line: &[u8]) -> Result<Ask, Refused> {
-    let unknown = |what| Refused::showing(Bad::Unknown, what, line);
-    let class = place(&names.classes, open.field("c")).ok_or_else(|| unknown("unknown class"))?;
+fn ask(open: &OpenLine<'_>, settings: &Names, line: &[u8]) -> Result<Ask, FirstLineError> {
+    let unknown = |message| FirstLineError::with_line(Bad::Unknown, message, line);
+    let class = index_of(&settings.classes, open.field("c")).ok_or_else(|| unknown("unknown class"))?;
     let tenant = match open.field("t") {
-        None if names.tenants.is_empty() => 0,
-        name => place(&names.tenants, name).ok_or_else(|| unknown("unknown tenant"))?,
+        None if settings.tenants.is_empty() => 0,
+        name => index_of(&settings.tenants, name).ok_or_else(|| unknown("unknown tenant"))?,
     };
-    let wait = open.field("d").and_then(parse::millis).ok_or_else(|| Refused::malformed(line))?;
-    if !open.figures_hold() {
-        return Err(Refused::malformed(line));
+    let wait_ms =
+        open.field("d").and_then(parse::deadline_ms).ok_or_else(|| FirstLineError::malformed(line))?;
+    if !open.fields_valid() {
+        return Err(FirstLineError::malformed(line));
     }
     Ok(Ask {
         name: Some(open.id.into()),
@@ -100,7 +107,7 @@
         tenant: TenantId(tenant),
         group: open.field("g").map(|name| AffinityKey(name_hash(name))),
         key: Some(AffinityKey(name_hash(open.key))),
-        grace_ms: wait - MARGIN_MS,
+        grace_ms: wait_ms - ANSWER_MARGIN_MS,
         load_hint: open.field("h").and_then(|hint| hint.parse().ok()),
         adopted: open.field("at").map(str::to_owned),
         coming: coming(open),
@@ -108,13 +115,13 @@
     })
 }
 
-/// A name's place among those that are configured.
-fn place(names: &[String], name: Option<&str>) -> Option<u32> {
+/// Returns the index of a name in the configured list; `None` if the name is absent or not listed.
+fn index_of(names: &[String], name: Option<&str>) -> Option<u32> {
     let name = name?;
-    names.iter().position(|known| known == name).map(|at| at as u32)
+    names.iter().position(|known| known == name).map(|index| index as u32)
 }
 
-fn coming(open: &Open<'_>) -> Coming {
+fn coming(open: &OpenLine<'_>) -> Coming {
     match (open.field("again"), open.field("r")) {
         (Some("1"), _) => Coming::Return,
         (_, Some("1")) => Coming::Retry,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's front: lines of text, one `OPEN` a connection.
+//! The front for the platform's line protocol: text lines, with one `OPEN` per client connection.
 
 mod first_line;
 mod parse;
@@ -12,29 +12,32 @@
 use crate::broker::{Bad, Command, Said};
 use crate::config::Site;
 use crate::front::{BUFFER, FIRST_MS, Front, Input, Step};
-use first_line::{FirstLine, Refused};
-use parse::{Answer, First};
+use first_line::{FirstLine, FirstLineError};
+use parse::{ClientLine, MemberLine};
 use relay::Relay;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// The longest line.
-pub const LINE: usize = 4 * 1024;
-/// A line that is half relayed may delay `MOVE` by this, and a side that has ended the other by the next.
-const MOVE_WAIT_MS: Millis = 300.0;
-const END_WAIT_MS: Millis = 800.0;
+/// Longest line that is accepted, and most that a client may send before its request is answered.
+pub const MAX_LINE_BYTES: usize = 4 * 1024;
+/// How long `MOVE` waits for the end of a member's line that is partly relayed.
+const MOVE_TIMEOUT_MS: Millis = 300.0;
+/// How long one side may keep the connection open after the other side has ended.
+const HALF_CLOSE_TIMEOUT_MS: Millis = 800.0;
 
-/// What the front needs of the settings.
+/// The settings that the front needs.
 #[derive(Debug, Default)]
 pub struct Names {
     classes: Vec<String>,
     tenants: Vec<String>,
+    /// Pool members send `LOAD` lines on connections.
     tells_load: bool,
+    /// Pool members append a load report to `BYE`, `BUSY` and `ERR`.
     answers_report: bool,
 }
 
 impl Names {
-    /// Takes them from the site's settings.
+    /// Copies them from the site's settings.
     pub fn new(site: &Site) -> Self {
         Names {
             classes: site.classes.clone(),
@@ -46,46 +49,50 @@
 }
 
 enum State {
-    /// Reading the first line.
-    First,
-    /// A readiness check waits.
+    /// Waiting for the end of the first line.
+    AwaitingFirstLine,
+    /// A readiness check awaits the broker's answer.
     Ping,
-    /// Asked; no flow is out.
-    Held,
-    /// A flow is being connected, or its first line is being written.
-    Opening { written: bool },
-    /// It stands.
+    /// The broker has the request; no flow is open.
+    AwaitingFlow,
+    /// A flow is connecting, or its request is being written or awaits the answer of the member.
+    Opening { request_written: bool },
+    /// The member serves the connection; bytes are relayed both ways.
     Up(Relay),
-    /// Moving: `MOVE` goes out as soon as a line has ended.
+    /// The client is to be moved: `MOVE` is sent as soon as the member's current line ends.
     Moving(Relay),
-    /// The member has ended its sending; the client may still send, for a short while.
-    Ending,
-    /// All is said.
-    Over,
+    /// The member has stopped sending; what the client still sends is relayed for a short time.
+    MemberEnded,
+    /// The final answer is queued and the connection is being closed.
+    Closed,
 }
 
 /// One client connection.
 pub struct Session {
-    names: Rc<Names>,
+    settings: Rc<Names>,
     state: State,
+    /// The client's first line, without its line end.
     line: String,
+    /// Bytes received from the client that are not forwarded yet.
     from_client: Vec<u8>,
+    /// Bytes of the member's incomplete answer to the first line.
     from_server: Vec<u8>,
     to_client: Vec<u8>,
     to_server: Vec<u8>,
     steps: VecDeque<Step>,
+    /// Deadline of the current state.
     due: Option<Millis>,
     client_ended: bool,
-    /// A readiness check was answered on it.
-    checked: bool,
+    /// A readiness check has been answered on this connection.
+    answered_ping: bool,
 }
 
 impl Session {
-    /// A connection just accepted.
-    pub fn new(now: Millis, names: Rc<Names>) -> Self {
+    /// Creates the session of a connection accepted at `now`.
+    pub fn new(now: Millis, settings: Rc<Names>) -> Self {
         Session {
-            names,
-            state: State::First,
+            settings,
+            state: State::AwaitingFirstLine,
             line: String::new(),
             from_client: Vec::new(),
             from_server: Vec::new(),
@@ -94,282 +101,290 @@
             steps: VecDeque::new(),
             due: Some(now + FIRST_MS),
             client_ended: false,
-            checked: false,
+            answered_ping: false,
         }
     }
 
-    fn say(&mut self, said: Said) {
-        self.steps.push_back(Step::Say(said));
+    fn notify_broker(&mut self, event: Said) {
+        self.steps.push_back(Step::Say(event));
     }
 
-    /// The final answer, then the end of the connection.
+    /// Sends the final answer and closes the connection.
     fn finish(&mut self, answer: &str) {
         self.to_client.extend_from_slice(answer.as_bytes());
         self.to_client.extend_from_slice(b"\r\n");
-        self.over(Step::Finish);
+        self.close(Step::Finish);
     }
 
-    fn over(&mut self, step: Step) {
-        self.state = State::Over;
+    fn close(&mut self, step: Step) {
+        self.state = State::Closed;
         self.due = None;
         self.steps.push_back(step);
     }
 
-    fn bad(&mut self, refused: Refused) {
-        let Refused { bad, what, detail } = refused;
-        self.steps.push_back(Step::Log { what, detail });
-        self.say(Said::Bad(bad));
-        self.finish(&format!("ERR {what}"));
+    fn fail_first_line(&mut self, error: FirstLineError) {
+        let FirstLineError { kind, message, detail } = error;
+        self.steps.push_back(Step::Log { what: message, detail });
+        self.notify_broker(Said::Bad(kind));
+        self.finish(&format!("ERR {message}"));
     }
 
-    fn first_line(&mut self) {
+    fn read_first_line(&mut self) {
         let line = match first_line::take(&mut self.from_client) {
             Ok(None) => return,
             Ok(Some(line)) => line,
-            Err(refused) => return self.bad(refused),
+            Err(error) => return self.fail_first_line(error),
         };
-        match first_line::read(&line, &self.names) {
-            Err(refused) => self.bad(refused),
+        match first_line::read(&line, &self.settings) {
+            Err(error) => self.fail_first_line(error),
             Ok(FirstLine::Ping) => {
                 self.state = State::Ping;
                 self.due = None;
-                self.say(Said::Ping);
+                self.notify_broker(Said::Ping);
             }
             Ok(FirstLine::Open { line, ask }) => {
                 self.line = line;
-                self.state = State::Held;
+                self.state = State::AwaitingFlow;
                 self.due = None;
-                self.say(Said::Ask(*ask));
+                self.notify_broker(Said::Ask(*ask));
             }
         }
     }
 
-    fn command(&mut self, now: Millis, command: Command) {
-        match (command, std::mem::replace(&mut self.state, State::Over)) {
-            (_, State::Over) => {}
+    fn handle_command(&mut self, now: Millis, command: Command) {
+        match (command, std::mem::replace(&mut self.state, State::Closed)) {
+            (_, State::Closed) => {}
             (Command::Ready, State::Ping) => {
                 self.to_client.extend_from_slice(b"PONG\r\n");
-                self.state = State::First;
-                self.checked = true;
+                self.state = State::AwaitingFirstLine;
+                self.answered_ping = true;
                 self.due = Some(now + FIRST_MS);
-                self.first_line();
+                self.read_first_line();
             }
-            // Anything but `PONG` is a no.
+            // The checker takes any answer but `PONG` as not ready.
             (Command::Unready, State::Ping) => self.finish("ERR Unready"),
-            (Command::Open { dial, wait_ms, .. }, State::Held) => {
-                if let Some(First::Open(open)) = parse::first(&self.line) {
-                    self.to_server = open.line(wait_ms.max(1.0) as u64).into_bytes();
+            (Command::Open { dial, wait_ms, .. }, State::AwaitingFlow) => {
+                if let Some(ClientLine::Open(open)) = parse::client_line(&self.line) {
+                    self.to_server = open.forwarded(wait_ms.max(1.0) as u64).into_bytes();
                 }
                 self.from_server.clear();
-                self.state = State::Opening { written: false };
+                self.state = State::Opening { request_written: false };
                 self.steps.push_back(Step::Dial(dial));
             }
-            (Command::Abandon, State::Opening { .. }) => self.flow_over(),
+            (Command::Abandon, State::Opening { .. }) => self.drop_flow(),
             (Command::Reject(ms), _) => {
                 self.finish(&if ms >= 1.0 { format!("BUSY {}", ms as u64) } else { "BUSY".into() })
             }
-            (Command::Fail(why), _) => self.finish(&format!("ERR {why:?}")),
+            (Command::Fail(failure), _) => self.finish(&format!("ERR {failure:?}")),
             (Command::Move, State::Up(relay)) => {
                 self.state = State::Moving(relay);
-                self.due = Some(now + MOVE_WAIT_MS);
-                self.try_move(false);
+                self.due = Some(now + MOVE_TIMEOUT_MS);
+                self.try_send_move(false);
             }
             (_, state) => self.state = state,
         }
     }
 
-    /// Closes the flow before anything else happens: the next one must not be out beside it.
-    fn flow_over(&mut self) {
+    /// Closes the flow. The step is queued before the broker is told, so that two flows of one transaction
+    /// are never open at once.
+    fn drop_flow(&mut self) {
         self.to_server.clear();
         self.from_server.clear();
-        self.state = State::Held;
+        self.state = State::AwaitingFlow;
         self.steps.push_back(Step::DropServer);
     }
 
-    /// `MOVE` stands between two lines. A line that does not end in time is left as it is.
-    fn try_move(&mut self, now_or_never: bool) {
+    /// Sends `MOVE` if the member's current line has ended. With `force` it is sent on a new line even if the
+    /// current one has not, which stays incomplete.
+    fn try_send_move(&mut self, force: bool) {
         let State::Moving(relay) = &self.state else { return };
-        if relay.between_lines() || now_or_never {
+        if relay.between_lines() || force {
             self.to_client.extend_from_slice(if relay.between_lines() {
                 b"MOVE\r\n"
             } else {
                 b"\r\nMOVE\r\n"
             });
             self.steps.push_back(Step::DropServer);
-            self.over(Step::Finish);
+            self.close(Step::Finish);
         }
     }
 
-    fn ended(&mut self, outcome: Outcome, report: Option<Report>) {
-        self.flow_over();
-        let report = report.filter(|_| self.names.answers_report);
-        self.say(Said::Ended(outcome, report));
+    /// Closes a flow that did not become a connection and reports its outcome to the broker.
+    fn end_flow(&mut self, outcome: Outcome, report: Option<Report>) {
+        self.drop_flow();
+        let report = report.filter(|_| self.settings.answers_report);
+        self.notify_broker(Said::Ended(outcome, report));
     }
 
-    /// Reads the pool member's answer to the first line.
-    fn server_answer(&mut self, now: Millis) {
+    /// Reads the pool member's answer to the first line, once it is complete.
+    fn read_member_answer(&mut self, now: Millis) {
         let Some(end) = self.from_server.iter().position(|b| *b == b'\n') else {
-            if self.from_server.len() > LINE {
-                self.ended(Outcome::Error, None);
+            if self.from_server.len() > MAX_LINE_BYTES {
+                self.end_flow(Outcome::Error, None);
             }
             return;
         };
         let line = String::from_utf8_lossy(&self.from_server[..end]).trim_end_matches('\r').to_owned();
-        let (answer, report) = parse::answer(&line);
-        match answer {
-            Answer::Up => {
+        let (kind, report) = parse::member_line(&line);
+        match kind {
+            MemberLine::Up => {
                 let bytes = std::mem::take(&mut self.from_server);
                 let mut relay = Relay::default();
-                let mut seen = Vec::new();
-                relay.server_sent(now, &bytes[end + 1..], &mut seen);
+                let mut events = Vec::new();
+                relay.member_sent(now, &bytes[end + 1..], &mut events);
                 self.to_client.extend_from_slice(&bytes);
                 let waiting = std::mem::take(&mut self.from_client);
                 relay.client_sent(now, &waiting);
                 self.to_server.extend_from_slice(&waiting);
                 self.state = State::Up(relay);
-                self.say(Said::Up);
-                self.told(seen);
+                self.notify_broker(Said::Up);
+                self.report_relay_events(events);
                 if self.client_ended {
                     self.steps.push_back(Step::EndServer);
-                    self.due = Some(now + END_WAIT_MS);
+                    self.due = Some(now + HALF_CLOSE_TIMEOUT_MS);
                 }
             }
-            Answer::Bye => {
-                self.say(Said::Ended(Outcome::Ok, report.filter(|_| self.names.answers_report)));
+            MemberLine::Bye => {
+                self.notify_broker(Said::Ended(Outcome::Ok, report.filter(|_| self.settings.answers_report)));
                 self.steps.push_back(Step::DropServer);
                 self.finish(&line);
             }
-            Answer::Move => self.ended(Outcome::Cancelled, None),
-            Answer::Busy => self.ended(Outcome::Full, report),
-            Answer::Err | Answer::Load(_) | Answer::Other => self.ended(Outcome::Error, report),
+            MemberLine::Move => self.end_flow(Outcome::Cancelled, None),
+            MemberLine::Busy => self.end_flow(Outcome::Full, report),
+            MemberLine::Err | MemberLine::Load(_) | MemberLine::Other => {
+                self.end_flow(Outcome::Error, report)
+            }
         }
     }
 
-    fn told(&mut self, seen: Vec<relay::Seen>) {
-        for seen in seen {
-            match seen {
-                relay::Seen::Reply(ms) => self.say(Said::Message(ms)),
-                relay::Seen::Load(load) if self.names.tells_load => self.say(Said::Load(load)),
-                relay::Seen::Load(_) => {}
+    fn report_relay_events(&mut self, events: Vec<relay::Event>) {
+        for event in events {
+            match event {
+                relay::Event::Reply(ms) => self.notify_broker(Said::Message(ms)),
+                relay::Event::Load(load) if self.settings.tells_load => self.notify_broker(Said::Load(load)),
+                relay::Event::Load(_) => {}
             }
         }
     }
 
-    fn client(&mut self, now: Millis, bytes: &[u8]) {
+    fn handle_client_bytes(&mut self, now: Millis, bytes: &[u8]) {
         match &mut self.state {
-            State::First => {
+            State::AwaitingFirstLine => {
                 self.from_client.extend_from_slice(bytes);
-                self.first_line();
+                self.read_first_line();
             }
-            State::Ping | State::Held | State::Opening { .. } => {
+            State::Ping | State::AwaitingFlow | State::Opening { .. } => {
                 self.from_client.extend_from_slice(bytes);
-                // It is to wait. Guards against one that sends on and goes: were it not read on, its end would not be
-                // seen, and its request would be sent on for nobody.
-                if self.from_client.len() > LINE {
+                // A client should send nothing more before it is answered. It is read all the same: if a
+                // client that sends on and leaves were not read, its end would go unseen and the request
+                // would reach a member with no client behind it.
+                if self.from_client.len() > MAX_LINE_BYTES {
                     let detail = format!("{} bytes", self.from_client.len());
                     self.steps.push_back(Step::Log { what: "client does not wait", detail });
-                    self.say(Said::Bad(Bad::TooLong));
-                    self.left("ERR client does not wait");
+                    self.notify_broker(Said::Bad(Bad::TooLong));
+                    self.client_left("ERR client does not wait");
                 }
             }
             State::Up(relay) => {
                 relay.client_sent(now, bytes);
                 self.to_server.extend_from_slice(bytes);
-                self.watch_mute(now);
+                self.set_reply_timer(now);
             }
-            State::Ending => self.to_server.extend_from_slice(bytes),
-            State::Moving(_) | State::Over => {}
+            State::MemberEnded => self.to_server.extend_from_slice(bytes),
+            State::Moving(_) | State::Closed => {}
         }
     }
 
-    /// A line that a running member leaves unanswered for so long will not be answered: the client is moved
-    /// while there is time.
-    fn watch_mute(&mut self, now: Millis) {
+    /// Sets the timer for the member's next reply. A member that stays silent beyond it is not expected to
+    /// reply at all, so the client is moved then, while it still has time to be placed elsewhere.
+    fn set_reply_timer(&mut self, now: Millis) {
         if let (State::Up(relay), false) = (&self.state, self.client_ended) {
-            self.due = relay.mute_at().map(|at| at.max(now));
+            self.due = relay.reply_deadline().map(|deadline| deadline.max(now));
         }
     }
 
-    fn server(&mut self, now: Millis, bytes: &[u8]) {
+    fn handle_member_bytes(&mut self, now: Millis, bytes: &[u8]) {
         match &mut self.state {
             State::Opening { .. } => {
                 self.from_server.extend_from_slice(bytes);
-                self.server_answer(now);
+                self.read_member_answer(now);
             }
             State::Up(relay) => {
-                let mut seen = Vec::new();
-                relay.server_sent(now, bytes, &mut seen);
+                let mut events = Vec::new();
+                relay.member_sent(now, bytes, &mut events);
                 self.to_client.extend_from_slice(bytes);
-                self.told(seen);
-                self.watch_mute(now);
+                self.report_relay_events(events);
+                self.set_reply_timer(now);
             }
             State::Moving(relay) => {
-                // Only the rest of the line that was begun still goes out.
+                // Only the rest of the current line is still relayed.
                 let rest = bytes.iter().position(|b| *b == b'\n').map_or(bytes.len(), |end| end + 1);
-                relay.server_sent(now, &bytes[..rest], &mut Vec::new());
+                relay.member_sent(now, &bytes[..rest], &mut Vec::new());
                 self.to_client.extend_from_slice(&bytes[..rest]);
-                self.try_move(false);
+                self.try_send_move(false);
             }
             _ => {}
         }
     }
 
-    /// Nobody waits for the answer any more.
-    fn left(&mut self, answer: &str) {
-        self.say(Said::Left);
+    /// Tells the broker that the client no longer waits, drops the flow and closes the connection with
+    /// `answer`.
+    fn client_left(&mut self, answer: &str) {
+        self.notify_broker(Said::Left);
         self.steps.push_back(Step::DropServer);
         self.finish(answer);
     }
 
-    fn client_end(&mut self, now: Millis) {
+    fn handle_client_end(&mut self, now: Millis) {
         self.client_ended = true;
         match &self.state {
-            State::First if self.from_client.is_empty() => self.over(Step::Finish),
-            State::First => {
+            State::AwaitingFirstLine if self.from_client.is_empty() => self.close(Step::Finish),
+            State::AwaitingFirstLine => {
                 let detail = format!("{} bytes", self.from_client.len());
-                self.bad(Refused { bad: Bad::HalfClosed, what: "early close", detail })
+                self.fail_first_line(FirstLineError { kind: Bad::HalfClosed, message: "early close", detail })
             }
-            State::Ping | State::Held | State::Opening { .. } => self.left("ERR early close"),
+            State::Ping | State::AwaitingFlow | State::Opening { .. } => self.client_left("ERR early close"),
             State::Up(_) => {
                 self.steps.push_back(Step::EndServer);
-                self.due = Some(now + END_WAIT_MS);
+                self.due = Some(now + HALF_CLOSE_TIMEOUT_MS);
             }
-            State::Moving(_) => self.try_move(true),
-            State::Ending => {
+            State::Moving(_) => self.try_send_move(true),
+            State::MemberEnded => {
                 self.steps.push_back(Step::EndServer);
-                self.over(Step::Finish);
+                self.close(Step::Finish);
             }
-            State::Over => {}
+            State::Closed => {}
         }
     }
 
-    fn server_end(&mut self, now: Millis, broke: bool) {
+    fn handle_member_end(&mut self, now: Millis, reset: bool) {
         match &self.state {
-            State::Opening { written } => {
-                let outcome = if *written { Outcome::Reset } else { Outcome::Unreachable };
-                self.ended(outcome, None);
+            State::Opening { request_written } => {
+                let outcome = if *request_written { Outcome::Reset } else { Outcome::Unreachable };
+                self.end_flow(outcome, None);
             }
             State::Up(relay) => {
-                let said = match relay.last() {
-                    Some(Answer::Bye) => Said::Ended(Outcome::Ok, None),
-                    Some(Answer::Move) => Said::SentAway,
+                let event = match relay.last_line() {
+                    Some(MemberLine::Bye) => Said::Ended(Outcome::Ok, None),
+                    Some(MemberLine::Move) => Said::SentAway,
                     _ if self.client_ended => Said::Ended(Outcome::Cancelled, None),
                     _ => Said::Ended(Outcome::Reset, None),
                 };
-                self.say(said);
-                // The client's connection ends as the member's did.
-                if broke {
-                    self.over(Step::ResetClient);
+                self.notify_broker(event);
+                // Close the client's connection in the way the member closed its own: by a reset or a
+                // graceful end.
+                if reset {
+                    self.close(Step::ResetClient);
                 } else if self.client_ended {
-                    self.over(Step::Finish);
+                    self.close(Step::Finish);
                 } else {
                     self.steps.push_back(Step::EndClient);
-                    self.state = State::Ending;
-                    self.due = Some(now + END_WAIT_MS);
+                    self.state = State::MemberEnded;
+                    self.due = Some(now + HALF_CLOSE_TIMEOUT_MS);
                 }
             }
-            State::Ending => self.over(if broke { Step::ResetClient } else { Step::Finish }),
-            State::Moving(_) => self.try_move(true),
+            State::MemberEnded => self.close(if reset { Step::ResetClient } else { Step::Finish }),
+            State::Moving(_) => self.try_send_move(true),
             _ => {}
         }
     }
@@ -378,59 +393,67 @@
 impl Front for Session {
     fn take(&mut self, now: Millis, input: Input<'_>) {
         match input {
-            Input::Client(bytes) => self.client(now, bytes),
-            Input::ClientEnd => self.client_end(now),
+            Input::Client(bytes) => self.handle_client_bytes(now, bytes),
+            Input::ClientEnd => self.handle_client_end(now),
             Input::ClientReset => match &self.state {
-                State::Over => {}
-                State::First | State::Ending | State::Moving(_) => self.over(Step::ResetClient),
+                State::Closed => {}
+                State::AwaitingFirstLine | State::MemberEnded | State::Moving(_) => {
+                    self.close(Step::ResetClient)
+                }
                 _ => {
-                    self.say(Said::Left);
+                    self.notify_broker(Said::Left);
                     self.steps.push_back(Step::ResetServer);
-                    self.over(Step::ResetClient);
+                    self.close(Step::ResetClient);
                 }
             },
             Input::ServerOpen => {
                 if matches!(self.state, State::Opening { .. }) {
-                    self.say(Said::Connected);
+                    self.notify_broker(Said::Connected);
                 }
             }
             Input::ServerRefused => {
                 if matches!(self.state, State::Opening { .. }) {
-                    self.ended(Outcome::Unreachable, None);
+                    self.end_flow(Outcome::Unreachable, None);
                 }
             }
-            Input::Server(bytes) => self.server(now, bytes),
+            Input::Server(bytes) => self.handle_member_bytes(now, bytes),
             Input::ServerWritten => {
-                if let State::Opening { written } = &mut self.state {
-                    *written = true;
-                    self.say(Said::Sent);
+                if let State::Opening { request_written } = &mut self.state {
+                    *request_written = true;
+                    self.notify_broker(Said::Sent);
                 }
             }
-            Input::ServerEnd => self.server_end(now, false),
-            Input::ServerReset => self.server_end(now, true),
-            Input::Command(command) => self.command(now, command),
+            Input::ServerEnd => self.handle_member_end(now, false),
+            Input::ServerReset => self.handle_member_end(now, true),
+            Input::Command(command) => self.handle_command(now, command),
             Input::Tick => {
                 if self.due.is_none_or(|due| now < due) {
                     return;
                 }
                 self.due = None;
                 match &self.state {
-                    State::First if self.checked && self.from_client.is_empty() => self.over(Step::Finish),
-                    State::First => {
+                    State::AwaitingFirstLine if self.answered_ping && self.from_client.is_empty() => {
+                        self.close(Step::Finish)
+                    }
+                    State::AwaitingFirstLine => {
                         let detail = format!("{} bytes", self.from_client.len());
-                        self.bad(Refused { bad: Bad::Silent, what: "silent client", detail })
+                        self.fail_first_line(FirstLineError {
+                            kind: Bad::Silent,
+                            message: "silent client",
+                            detail,
+                        })
                     }
-                    State::Moving(_) => self.try_move(true),
-                    State::Ending => self.over(Step::Finish),
+                    State::Moving(_) => self.try_send_move(true),
+                    State::MemberEnded => self.close(Step::Finish),
                     State::Up(_) if self.client_ended => {
-                        self.say(Said::Left);
+                        self.notify_broker(Said::Left);
                         self.steps.push_back(Step::DropServer);
-                        self.over(Step::Finish);
+                        self.close(Step::Finish);
                     }
-                    State::Up(relay) if relay.mute_at().is_some_and(|at| now >= at) => {
+                    State::Up(relay) if relay.reply_deadline().is_some_and(|deadline| now >= deadline) => {
                         self.steps.push_back(Step::Log { what: "mute connection", detail: String::new() });
-                        self.say(Said::Ended(Outcome::TimedOut, None));
-                        self.command(now, Command::Move);
+                        self.notify_broker(Said::Ended(Outcome::TimedOut, None));
+                        self.handle_command(now, Command::Move);
                     }
                     _ => {}
                 }
@@ -456,8 +479,8 @@
 
     fn reads_client(&self) -> bool {
         match self.state {
-            State::Up(_) | State::Ending => self.to_server.len() < BUFFER,
-            // One that waits is read on, so that its end is seen.
+            State::Up(_) | State::MemberEnded => self.to_server.len() < BUFFER,
+            // A client that awaits its answer is still read, so that its end is noticed.
             _ => true,
         }
     }
--- a/src/platform/probe.rs
+++ b/src/platform/probe.rs
@@ -1,25 +1,26 @@
-//! A probe: `STATS`, answered `PONG` or `ERR` and the load report.
+//! A probe of a pool member: `STATS`, answered by `PONG` or an error word and the member's load report.
 
-use super::LINE;
-use super::parse::{ProbeReport, report};
+use super::MAX_LINE_BYTES;
+use super::parse::{ProbeReport, load_report};
 use crate::api::Outcome;
 
-/// One connection for probes; it may carry many, one after the other.
+/// Reads the answers to probes on one connection, which may carry many probes, one after another.
 #[derive(Default)]
 pub struct Probe {
     line: Vec<u8>,
-    pong: bool,
+    /// A `PONG` without a report has come; the report is expected on the next line.
+    awaits_report: bool,
 }
 
 impl Probe {
-    /// What to send.
+    /// The request that the member answers.
     pub const ASK: &'static [u8] = b"STATS\r\n";
 
-    /// Takes bytes; returns how the probe ended once they tell.
+    /// Takes received bytes; returns the probe's outcome once the answer is complete.
     pub fn take(&mut self, bytes: &[u8]) -> Option<(Outcome, Option<ProbeReport>)> {
         for &byte in bytes {
             if byte != b'\n' {
-                if self.line.len() >= LINE {
+                if self.line.len() >= MAX_LINE_BYTES {
                     return Some((Outcome::Error, None));
                 }
                 self.line.push(byte);
@@ -29,13 +30,12 @@
             let line = String::from_utf8_lossy(&line);
             let line = line.trim_end();
             let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
-            if std::mem::take(&mut self.pong) {
-                return Some((Outcome::Ok, report(line)));
+            if std::mem::take(&mut self.awaits_report) {
+                return Some((Outcome::Ok, load_report(line)));
             }
-            match (word, report(rest.trim())) {
+            match (word, load_report(rest.trim())) {
                 ("PONG", Some(report)) => return Some((Outcome::Ok, Some(report))),
-                // The report follows on a line of its own.
-                ("PONG", None) => self.pong = true,
+                ("PONG", None) => self.awaits_report = true,
                 ("BUSY", report) => return Some((Outcome::Full, report)),
                 ("NO", _) => return Some((Outcome::NotSent, None)),
                 (_, report) => return Some((Outcome::Error, report)),
@@ -44,9 +44,10 @@
         None
     }
 
-    /// What a break of the connection means: a `PONG` without a report is an answer all the same.
+    /// The outcome if the connection closes or breaks now: after a `PONG` the probe succeeded even without a
+    /// report.
     pub fn broke(&self) -> Outcome {
-        if self.pong { Outcome::Ok } else { Outcome::Reset }
+        if self.awaits_report { Outcome::Ok } else { Outcome::Reset }
     }
 }
 
--- a/src/platform/probe/tests.rs
+++ b/src/platform/probe/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_report_may_stand_behind_pong_or_on_the_next_line() {
+fn load_report_is_read_after_pong_or_from_the_next_line() {
     let x0 = |answer: &str| {
         let mut probe = Probe::default();
         let found = answer.as_bytes().chunks(3).find_map(|part| probe.take(part));
--- a/src/platform/relay.rs
+++ b/src/platform/relay.rs
@@ -1,20 +1,23 @@
-//! What passes once a connection stands: bytes go through unchanged, but line ends are watched.
+//! Observes an established connection. Bytes are relayed unchanged; this tracks line ends, the member's last
+//! line and how long the member takes to reply.
 
-use super::parse::{Answer, answer};
+use super::parse::{MemberLine, member_line};
 use crate::api::Millis;
 use std::collections::VecDeque;
 
-/// Lines longer than this say nothing to the node; only their end counts.
-const WATCHED: usize = 64;
+/// Bytes of a member's line that are kept to parse it. Protocol lines are shorter; the rest of a longer line
+/// is only searched for its end.
+const MAX_PARSED_BYTES: usize = 64;
 /// Client lines whose replies are timed at once.
-const TIMED: usize = 8;
-/// A line without a reply for this long: with a line every 2 s a mute connection is told within 7 s.
-const MUTE_MS: Millis = 4_500.0;
+const MAX_TIMED_LINES: usize = 8;
+/// A connection counts as mute once a client line has had no reply for this long. With a line every 2 s a
+/// mute connection is detected within 7 s.
+const REPLY_TIMEOUT_MS: Millis = 4_500.0;
 
-/// What a member's line told.
+/// What a member's line says about the connection.
 #[derive(Debug, PartialEq)]
-pub(super) enum Seen {
-    /// The reply to a client's line, after this time.
+pub(super) enum Event {
+    /// A client line was replied to after this time.
     Reply(Millis),
     /// The connection's load.
     Load(f64),
@@ -22,52 +25,55 @@
 
 #[derive(Default)]
 pub(super) struct Relay {
+    /// The start of the member's current line.
     line: Vec<u8>,
-    begun: bool,
-    last: Option<Answer>,
-    asked: VecDeque<Millis>,
+    /// The member's last byte was not a line end.
+    mid_line: bool,
+    last_line: Option<MemberLine>,
+    /// When each client line that awaits its reply was relayed, oldest first.
+    awaiting_reply: VecDeque<Millis>,
 }
 
 impl Relay {
     pub(super) fn client_sent(&mut self, now: Millis, bytes: &[u8]) {
         for _ in bytes.iter().filter(|b| **b == b'\n') {
-            if self.asked.len() < TIMED {
-                self.asked.push_back(now);
+            if self.awaiting_reply.len() < MAX_TIMED_LINES {
+                self.awaiting_reply.push_back(now);
             }
         }
     }
 
-    pub(super) fn server_sent(&mut self, now: Millis, bytes: &[u8], seen: &mut Vec<Seen>) {
+    pub(super) fn member_sent(&mut self, now: Millis, bytes: &[u8], events: &mut Vec<Event>) {
         for &byte in bytes {
-            self.begun = byte != b'\n';
+            self.mid_line = byte != b'\n';
             if byte != b'\n' {
-                if self.line.len() < WATCHED {
+                if self.line.len() < MAX_PARSED_BYTES {
                     self.line.push(byte);
                 }
                 continue;
             }
             let line = std::mem::take(&mut self.line);
-            let said = answer(String::from_utf8_lossy(&line).trim_end_matches('\r')).0;
-            match said {
-                Answer::Load(load) => seen.push(Seen::Load(load)),
-                Answer::Bye | Answer::Move => {}
-                _ => seen.extend(self.asked.pop_front().map(|at| Seen::Reply(now - at))),
+            let kind = member_line(String::from_utf8_lossy(&line).trim_end_matches('\r')).0;
+            match kind {
+                MemberLine::Load(load) => events.push(Event::Load(load)),
+                MemberLine::Bye | MemberLine::Move => {}
+                _ => events.extend(self.awaiting_reply.pop_front().map(|sent| Event::Reply(now - sent))),
             }
-            self.last = Some(said);
+            self.last_line = Some(kind);
         }
     }
 
     pub(super) fn between_lines(&self) -> bool {
-        !self.begun
+        !self.mid_line
     }
 
-    /// The last whole line.
-    pub(super) fn last(&self) -> Option<Answer> {
-        self.last
+    /// The member's last complete line.
+    pub(super) fn last_line(&self) -> Option<MemberLine> {
+        self.last_line
     }
 
-    /// When the member counts as mute.
-    pub(super) fn mute_at(&self) -> Option<Millis> {
-        self.asked.front().map(|at| at + MUTE_MS)
+    /// When the connection counts as mute if the member has not replied by then.
+    pub(super) fn reply_deadline(&self) -> Option<Millis> {
+        self.awaiting_reply.front().map(|sent| sent + REPLY_TIMEOUT_MS)
     }
 }
