--- a/src/xmpp/mod.rs
+++ b/src/xmpp/mod.rs
@@ -1,8 +1,9 @@
-//! The XMPP front (RFC 6120, 6121): one stream is one transaction. The stream's `to` names the service (a
-//! class to the broker), its `from` or the listener the team (a tenant). The broker's answer is given when
-//! negotiation ends with a bound resource, or by one stream error.
+//! The front for XMPP (RFC 6120, 6121). One client stream is one transaction. The stream's `to` selects the
+//! service, which is a class for the broker. The team, a tenant for the broker, follows from the stream's
+//! `from`, or from the listener where `from` names no domain. A transaction succeeds when negotiation ends
+//! with a bound resource, and fails with exactly one stream error.
 //!
-//! Streams are carried without TLS: a client that asks for it is told that it can't be had.
+//! TLS is not supported: a client that requests STARTTLS is sent a failure and its stream is closed.
 
 mod xml;
 
@@ -11,89 +12,93 @@
 use crate::front::{BUFFER, FIRST_MS, Front, Input, Step};
 use std::collections::VecDeque;
 use std::rc::Rc;
-use xml::{Child, Cutter, Unit, XmlError, escape};
+use xml::{Child, StreamItem, StreamParser, XmlError, escape};
 
-/// What is kept back of a deadline for the answer's own way.
-const MARGIN_MS: Millis = 100.0;
-/// A side that was told of the stream's end has this long to end it too.
-const END_WAIT_MS: Millis = 800.0;
-const BIND: &str = "urn:ietf:params:xml:ns:xmpp-bind";
-const ERRORS: &str = "urn:ietf:params:xml:ns:xmpp-streams";
+/// Subtracted from the service's deadline to cover the transit of the answer.
+const ANSWER_MARGIN_MS: Millis = 100.0;
+/// How long one side may take to close its stream after the other side has closed.
+const STREAM_CLOSE_TIMEOUT_MS: Millis = 800.0;
+const BIND_NAMESPACE: &str = "urn:ietf:params:xml:ns:xmpp-bind";
+const STREAM_ERROR_NAMESPACE: &str = "urn:ietf:params:xml:ns:xmpp-streams";
 
-/// What the front needs to know of the operator's file and the inventory.
+/// The settings that the front needs from the operator's file and the inventory.
 #[derive(Clone, Debug, Default)]
 pub struct Realm {
-    /// Services, by the number of their class, with how long a stream may be negotiated.
+    /// Name of each service and deadline for the negotiation of its streams, in ms, indexed by class.
     pub services: Vec<(String, Millis)>,
-    /// The domains of each team, by the number of its tenant.
+    /// Domains of each team, indexed by tenant.
     pub teams: Vec<Vec<String>>,
-    /// The team of clients that name none.
+    /// Tenant of clients whose `from` names no domain; without it they are refused.
     pub listener_team: Option<u32>,
-    /// The longest stanza.
+    /// Longest stanza that is accepted, in bytes.
     pub stanza_bytes: usize,
-    /// Where moved clients are to come again.
+    /// Address sent in `see-other-host`, to which moved clients reconnect.
     pub see_other: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     /// Waiting for the client's stream header.
-    Header,
-    /// Asked; no flow is out.
-    Held,
-    /// A flow is out: the stream is being negotiated.
+    AwaitingHeader,
+    /// The broker has the request; no flow is open.
+    AwaitingFlow,
+    /// A flow is open and the stream is being negotiated with its member.
     Negotiating,
-    /// Bound.
+    /// A resource is bound; the member serves the stream.
     Up,
-    /// One side has ended its stream; the other is to follow.
-    Ending,
-    /// All is said.
-    Over,
+    /// One side has closed its stream; the other side is expected to close too.
+    Closing,
+    /// The client's stream has ended and its connection is being closed.
+    Closed,
 }
 
 /// One client stream.
 pub struct Session {
-    realm: Rc<Realm>,
+    settings: Rc<Realm>,
     state: State,
-    client: Cutter,
-    server: Cutter,
-    to: String,
-    /// What the client has sent and a member must see: kept until a member's word has reached the client.
-    opening: Vec<u8>,
-    /// The member's header, kept until what follows shows that it does not turn the client away.
+    client_parser: StreamParser,
+    member_parser: StreamParser,
+    /// The service that the client's header names in `to`.
+    service: String,
+    /// What the client has sent so far, sent again to each member that is tried. Kept until something from a
+    /// member has reached the client.
+    replay_buffer: Vec<u8>,
+    /// The member's stream header. It is held back until the next item shows that the member does not refuse
+    /// the client.
     held_header: Vec<u8>,
-    /// Something of the member's has reached the client.
+    /// Something from a member has reached the client, so no other member can take over.
     committed: bool,
     /// The client has been sent a stream header.
-    greeted: bool,
-    /// The flow has a connection.
-    connected: bool,
-    /// The last flow was given up without an end.
-    silent: bool,
-    /// The stream error that the member closed with.
-    server_error: Vec<u8>,
+    header_sent: bool,
+    /// The flow's connection is established.
+    flow_connected: bool,
+    /// The last flow was abandoned before its member had answered or failed.
+    member_silent: bool,
+    /// The stream error with which the member closed its stream.
+    member_error: Vec<u8>,
     to_client: Vec<u8>,
     to_server: Vec<u8>,
     steps: VecDeque<Step>,
+    /// Deadline of the current state.
     due: Option<Millis>,
 }
 
 impl Session {
-    /// A connection just accepted.
-    pub fn new(now: Millis, realm: Rc<Realm>) -> Self {
+    /// Creates the session of a connection accepted at `now`.
+    pub fn new(now: Millis, settings: Rc<Realm>) -> Self {
         Session {
-            state: State::Header,
-            client: Cutter::new(realm.stanza_bytes),
-            server: Cutter::new(realm.stanza_bytes),
-            realm,
-            to: String::new(),
-            opening: Vec::new(),
+            state: State::AwaitingHeader,
+            client_parser: StreamParser::new(settings.stanza_bytes),
+            member_parser: StreamParser::new(settings.stanza_bytes),
+            settings,
+            service: String::new(),
+            replay_buffer: Vec::new(),
             held_header: Vec::new(),
             committed: false,
-            greeted: false,
-            connected: false,
-            silent: false,
-            server_error: Vec::new(),
+            header_sent: false,
+            flow_connected: false,
+            member_silent: false,
+            member_error: Vec::new(),
             to_client: Vec::new(),
             to_server: Vec::new(),
             steps: VecDeque::new(),
@@ -101,33 +106,35 @@
         }
     }
 
-    fn say(&mut self, said: Said) {
-        self.steps.push_back(Step::Say(said));
+    fn notify_broker(&mut self, event: Said) {
+        self.steps.push_back(Step::Say(event));
     }
 
-    fn over(&mut self, step: Step) {
-        self.state = State::Over;
+    fn close(&mut self, step: Step) {
+        self.state = State::Closed;
         self.due = None;
         self.steps.push_back(step);
     }
 
-    /// The stream's one error, behind a header of our own if the client has none yet, then the end.
-    fn error(&mut self, condition: &str, text: &str) {
-        let error = format!("<{condition} xmlns='{ERRORS}'>{}</{condition}>", escape(text));
-        self.last_word(format!("<stream:error>{error}</stream:error>").as_bytes());
+    /// Closes the client's stream with a stream error. The node's own header precedes it if the client has
+    /// had none.
+    fn close_with_condition(&mut self, condition: &str, text: &str) {
+        let error = format!("<{condition} xmlns='{STREAM_ERROR_NAMESPACE}'>{}</{condition}>", escape(text));
+        self.close_with_error(format!("<stream:error>{error}</stream:error>").as_bytes());
     }
 
-    fn last_word(&mut self, error: &[u8]) {
-        self.greet();
+    fn close_with_error(&mut self, error: &[u8]) {
+        self.send_header();
         self.to_client.extend_from_slice(error);
         self.to_client.extend_from_slice(b"</stream:stream>");
-        self.close_flow();
-        self.over(Step::Finish);
+        self.close_member_stream();
+        self.close(Step::Finish);
     }
 
-    fn greet(&mut self) {
-        if !std::mem::replace(&mut self.greeted, true) {
-            let from = escape(&self.to);
+    /// Sends the client the node's own stream header, unless it has had one already.
+    fn send_header(&mut self) {
+        if !std::mem::replace(&mut self.header_sent, true) {
+            let from = escape(&self.service);
             let header = format!(
                 "<?xml version='1.0'?><stream:stream xmlns='jabber:client' \
                  xmlns:stream='http://etherx.jabber.org/streams' from='{from}' version='1.0'>"
@@ -136,119 +143,126 @@
         }
     }
 
-    /// Ends the member's stream in good order where one was begun there.
-    fn close_flow(&mut self) {
-        if matches!(self.state, State::Negotiating | State::Up | State::Ending) {
+    /// Closes the member's stream gracefully if one is open.
+    fn close_member_stream(&mut self) {
+        if matches!(self.state, State::Negotiating | State::Up | State::Closing) {
             self.to_server.extend_from_slice(b"</stream:stream>");
         }
     }
 
-    /// The client's own fault: the transaction is over, and so is what was begun for it.
-    fn bad_client(&mut self, bad: Bad, condition: &'static str, what: &'static str) {
+    /// Ends the transaction because of an error of the client, and closes what was opened for it.
+    fn fail_client(&mut self, kind: Bad, condition: &'static str, what: &'static str) {
         self.steps.push_back(Step::Log { what, detail: condition.to_owned() });
-        self.say(match self.state {
-            State::Header => Said::Bad(bad),
+        self.notify_broker(match self.state {
+            State::AwaitingHeader => Said::Bad(kind),
             _ => Said::Left,
         });
-        self.error(condition, "");
+        self.close_with_condition(condition, "");
     }
 
     // ---- From the client ----
 
-    fn client_sent(&mut self, now: Millis) {
-        while !matches!(self.state, State::Ending | State::Over) {
-            match self.client.next() {
-                Ok(Some(unit)) => self.client_unit(now, unit),
+    fn read_client_items(&mut self, now: Millis) {
+        while !matches!(self.state, State::Closing | State::Closed) {
+            match self.client_parser.next() {
+                Ok(Some(item)) => self.handle_client_item(now, item),
                 Ok(None) => return,
                 Err(error) => {
-                    let long = error == XmlError::PolicyViolation;
-                    let bad = if long { Bad::TooLong } else { Bad::Malformed };
-                    return self.bad_client(bad, error.condition(), "bad stream");
+                    let too_long = error == XmlError::PolicyViolation;
+                    let kind = if too_long { Bad::TooLong } else { Bad::Malformed };
+                    return self.fail_client(kind, error.condition(), "bad stream");
                 }
             }
         }
     }
 
-    fn client_unit(&mut self, now: Millis, unit: Unit) {
-        match (self.state, unit) {
-            (State::Header, Unit::Header { attributes, bytes }) => self.asked(&attributes, bytes),
-            (State::Header, _) => {
-                self.bad_client(Bad::Malformed, XmlError::BadFormat.condition(), "bad stream")
+    fn handle_client_item(&mut self, now: Millis, item: StreamItem) {
+        match (self.state, item) {
+            (State::AwaitingHeader, StreamItem::Header { attributes, bytes }) => {
+                self.handle_client_header(&attributes, bytes)
             }
-            (_, Unit::Stanza { name, .. }) if name == "starttls" => {
-                // There is no TLS: RFC 6120 5.4.2.2 answers so and ends the stream.
-                self.say(Said::Left);
-                self.greet();
+            (State::AwaitingHeader, _) => {
+                self.fail_client(Bad::Malformed, XmlError::BadFormat.condition(), "bad stream")
+            }
+            (_, StreamItem::Stanza { name, .. }) if name == "starttls" => {
+                // TLS is not supported. RFC 6120, 5.4.2.2 requires a failure and the end of the stream.
+                self.notify_broker(Said::Left);
+                self.send_header();
                 let failure: &[u8] = b"<failure xmlns='urn:ietf:params:xml:ns:xmpp-tls'/></stream:stream>";
                 self.to_client.extend_from_slice(failure);
-                self.close_flow();
-                self.over(Step::Finish);
+                self.close_member_stream();
+                self.close(Step::Finish);
             }
-            (State::Held | State::Negotiating, Unit::End(bytes)) => {
+            (State::AwaitingFlow | State::Negotiating, StreamItem::End(bytes)) => {
                 self.to_server.extend_from_slice(&bytes);
-                self.say(Said::Left);
-                self.greet();
+                self.notify_broker(Said::Left);
+                self.send_header();
                 self.to_client.extend_from_slice(b"</stream:stream>");
-                self.over(Step::Finish);
+                self.close(Step::Finish);
             }
-            (_, Unit::End(bytes)) => {
+            (_, StreamItem::End(bytes)) => {
                 self.to_server.extend_from_slice(&bytes);
-                self.state = State::Ending;
-                self.due = Some(now + END_WAIT_MS);
-                self.say(Said::Left);
+                self.state = State::Closing;
+                self.due = Some(now + STREAM_CLOSE_TIMEOUT_MS);
+                self.notify_broker(Said::Left);
             }
-            (state, Unit::Header { bytes, .. } | Unit::Stanza { bytes, .. } | Unit::Space(bytes)) => {
+            (
+                state,
+                StreamItem::Header { bytes, .. }
+                | StreamItem::Stanza { bytes, .. }
+                | StreamItem::Whitespace(bytes),
+            ) => {
                 if !self.committed {
-                    self.opening.extend_from_slice(&bytes);
-                    if self.opening.len() > self.realm.stanza_bytes {
-                        return self.bad_client(
+                    self.replay_buffer.extend_from_slice(&bytes);
+                    if self.replay_buffer.len() > self.settings.stanza_bytes {
+                        return self.fail_client(
                             Bad::TooLong,
                             "policy-violation",
                             "too much before the answer",
                         );
                     }
                 }
-                if state != State::Held {
+                if state != State::AwaitingFlow {
                     self.to_server.extend_from_slice(&bytes);
                 }
             }
         }
     }
 
-    fn asked(&mut self, attributes: &[(String, String)], bytes: Vec<u8>) {
+    fn handle_client_header(&mut self, attributes: &[(String, String)], bytes: Vec<u8>) {
         let value = |wanted: &str| {
             attributes.iter().find(|(name, _)| name == wanted).map(|(_, value)| value.as_str()).unwrap_or("")
         };
         let (to, from) = (value("to").to_owned(), value("from").to_owned());
         if value("xmlns:stream") != "http://etherx.jabber.org/streams" || value("xmlns") != "jabber:client" {
-            return self.bad_client(Bad::Malformed, "invalid-namespace", "bad stream header");
+            return self.fail_client(Bad::Malformed, "invalid-namespace", "bad stream header");
         }
         if !value("version").starts_with("1.") {
-            return self.bad_client(Bad::Malformed, "unsupported-version", "bad stream header");
+            return self.fail_client(Bad::Malformed, "unsupported-version", "bad stream header");
         }
-        let Some(class) = self.realm.services.iter().position(|(name, _)| *name == to) else {
-            return self.bad_client(Bad::Unknown, "host-unknown", "unknown service");
+        let Some(class) = self.settings.services.iter().position(|(name, _)| *name == to) else {
+            return self.fail_client(Bad::Unknown, "host-unknown", "unknown service");
         };
         let domain = from.split('/').next().unwrap_or("").rsplit('@').next().unwrap_or("");
-        let team = self.realm.teams.iter().position(|domains| domains.iter().any(|known| known == domain));
+        let team = self.settings.teams.iter().position(|domains| domains.iter().any(|known| known == domain));
         let team = match (domain, team) {
-            ("", _) => self.realm.listener_team,
+            ("", _) => self.settings.listener_team,
             (_, team) => team.map(|team| team as u32),
         };
         let Some(team) = team else {
-            return self.bad_client(Bad::Unknown, "invalid-from", "unknown team");
+            return self.fail_client(Bad::Unknown, "invalid-from", "unknown team");
         };
-        self.to = to;
-        self.opening = bytes;
-        self.state = State::Held;
+        self.service = to;
+        self.replay_buffer = bytes;
+        self.state = State::AwaitingFlow;
         self.due = None;
-        self.say(Said::Ask(Ask {
+        self.notify_broker(Said::Ask(Ask {
             name: None,
             class: ClassId(class as u32),
             tenant: TenantId(team),
             group: None,
             key: None,
-            grace_ms: self.realm.services[class].1 - MARGIN_MS,
+            grace_ms: self.settings.services[class].1 - ANSWER_MARGIN_MS,
             load_hint: None,
             adopted: None,
             coming: Coming::First,
@@ -256,137 +270,154 @@
         }));
     }
 
-    // ---- From the member ----
+    // ---- From the pool member ----
 
-    fn server_sent(&mut self, now: Millis) {
-        while matches!(self.state, State::Negotiating | State::Up | State::Ending) {
-            match self.server.next() {
-                Ok(Some(unit)) => self.server_unit(now, unit),
+    fn read_member_items(&mut self, now: Millis) {
+        while matches!(self.state, State::Negotiating | State::Up | State::Closing) {
+            match self.member_parser.next() {
+                Ok(Some(item)) => self.handle_member_item(now, item),
                 Ok(None) => return,
                 Err(error) => {
                     let detail = error.condition().to_owned();
                     self.steps.push_back(Step::Log { what: "bad stream from member", detail });
-                    return self.flow_ended(Outcome::Error);
+                    return self.handle_flow_end(Outcome::Error);
                 }
             }
         }
     }
 
-    fn server_unit(&mut self, now: Millis, unit: Unit) {
-        match unit {
-            Unit::Header { bytes, .. } if !self.committed && self.held_header.is_empty() => {
+    fn handle_member_item(&mut self, now: Millis, item: StreamItem) {
+        match item {
+            StreamItem::Header { bytes, .. } if !self.committed && self.held_header.is_empty() => {
                 self.held_header = bytes;
             }
-            Unit::Stanza { name, children, bytes, .. } if name == "stream:error" => {
-                self.server_error = bytes;
+            StreamItem::Stanza { name, children, bytes, .. } if name == "stream:error" => {
+                self.member_error = bytes;
                 let condition = children.first().map_or("", |child| child.name.as_str());
-                self.flow_ended(match condition {
+                self.handle_flow_end(match condition {
                     "resource-constraint" => Outcome::Full,
                     "see-other-host" | "system-shutdown" => Outcome::Cancelled,
                     _ => Outcome::Error,
                 });
             }
-            Unit::End(bytes) => match self.state {
-                State::Negotiating => self.flow_ended(Outcome::Reset),
-                State::Ending => {
+            StreamItem::End(bytes) => match self.state {
+                State::Negotiating => self.handle_flow_end(Outcome::Reset),
+                State::Closing => {
                     self.to_client.extend_from_slice(&bytes);
-                    self.over(Step::Finish);
+                    self.close(Step::Finish);
                 }
                 _ => {
-                    self.say(Said::Ended(Outcome::Ok, None));
+                    self.notify_broker(Said::Ended(Outcome::Ok, None));
                     self.to_client.extend_from_slice(&bytes);
-                    self.state = State::Ending;
-                    self.due = Some(now + END_WAIT_MS);
+                    self.state = State::Closing;
+                    self.due = Some(now + STREAM_CLOSE_TIMEOUT_MS);
                     self.steps.push_back(Step::EndClient);
                 }
             },
-            Unit::Stanza { name, attributes, children, bytes } => {
-                self.pass(&bytes);
-                let result = attributes.iter().any(|(name, value)| name == "type" && value == "result");
-                let bind = |child: &Child| child.name == "bind" && child.namespace.as_deref() == Some(BIND);
-                if self.state == State::Negotiating && name == "iq" && result && children.iter().any(bind) {
+            StreamItem::Stanza { name, attributes, children, bytes } => {
+                self.send_to_client(&bytes);
+                let is_result = attributes.iter().any(|(name, value)| name == "type" && value == "result");
+                let is_bind = |child: &Child| {
+                    child.name == "bind" && child.namespace.as_deref() == Some(BIND_NAMESPACE)
+                };
+                if self.state == State::Negotiating
+                    && name == "iq"
+                    && is_result
+                    && children.iter().any(is_bind)
+                {
                     self.state = State::Up;
-                    self.say(Said::Up);
+                    self.notify_broker(Said::Up);
                 }
             }
-            Unit::Header { bytes, .. } | Unit::Space(bytes) => self.pass(&bytes),
+            StreamItem::Header { bytes, .. } | StreamItem::Whitespace(bytes) => self.send_to_client(&bytes),
         }
     }
 
-    /// Passes a member's word on. With the first one the client is that member's.
-    fn pass(&mut self, bytes: &[u8]) {
+    /// Relays bytes of the member to the client. The first ones commit the client to this member.
+    fn send_to_client(&mut self, bytes: &[u8]) {
         if !std::mem::replace(&mut self.committed, true) {
-            self.say(Said::Committed);
-            self.greeted = true;
-            self.opening = Vec::new();
+            self.notify_broker(Said::Committed);
+            self.header_sent = true;
+            self.replay_buffer = Vec::new();
             let header = std::mem::take(&mut self.held_header);
             self.to_client.extend_from_slice(&header);
         }
         self.to_client.extend_from_slice(bytes);
     }
 
-    fn flow_ended(&mut self, outcome: Outcome) {
+    /// Handles a flow that failed or that its member ended.
+    fn handle_flow_end(&mut self, outcome: Outcome) {
         match self.state {
             State::Negotiating => {
-                self.flow_over();
-                self.silent = false;
-                self.say(Said::Ended(outcome, None));
+                self.drop_flow();
+                self.member_silent = false;
+                self.notify_broker(Said::Ended(outcome, None));
             }
             State::Up => {
-                self.say(Said::Ended(outcome, None));
+                self.notify_broker(Said::Ended(outcome, None));
                 self.to_server.clear();
-                self.failed("remote-connection-failed");
+                self.fail_stream("remote-connection-failed");
             }
-            State::Ending => self.over(Step::Finish),
+            State::Closing => self.close(Step::Finish),
             _ => {}
         }
     }
 
-    /// Closes the flow before anything else happens: the next one must not be out beside it.
-    fn flow_over(&mut self) {
-        self.state = State::Held;
-        // A stream that was begun there is ended in good order.
-        self.to_server = if self.connected { b"</stream:stream>".to_vec() } else { Vec::new() };
-        self.connected = false;
+    /// Closes the flow. The step is queued before the broker is told, so that two flows of one transaction
+    /// are never open at once.
+    fn drop_flow(&mut self) {
+        self.state = State::AwaitingFlow;
+        // Close the member's stream gracefully if its connection is established.
+        self.to_server = if self.flow_connected { b"</stream:stream>".to_vec() } else { Vec::new() };
+        self.flow_connected = false;
         self.held_header.clear();
-        self.server = Cutter::new(self.realm.stanza_bytes);
+        self.member_parser = StreamParser::new(self.settings.stanza_bytes);
         self.steps.push_back(Step::DropServer);
     }
 
-    /// Ends the client's stream: with the member's own error where it gave one.
-    fn failed(&mut self, condition: &str) {
-        let own = std::mem::take(&mut self.server_error);
-        if self.committed && !own.is_empty() { self.last_word(&own) } else { self.error(condition, "") }
+    /// Closes the client's stream: with the member's stream error if the client is committed to that member
+    /// and there is one, else with `condition`.
+    fn fail_stream(&mut self, condition: &str) {
+        let member_error = std::mem::take(&mut self.member_error);
+        if self.committed && !member_error.is_empty() {
+            self.close_with_error(&member_error)
+        } else {
+            self.close_with_condition(condition, "")
+        }
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match (command, self.state) {
-            (_, State::Over) | (Command::Ready | Command::Unready, _) => {}
-            (Command::Open { dial, .. }, State::Held) => {
+            (_, State::Closed) | (Command::Ready | Command::Unready, _) => {}
+            (Command::Open { dial, .. }, State::AwaitingFlow) => {
                 self.state = State::Negotiating;
-                self.silent = true;
-                self.server_error.clear();
-                self.to_server = self.opening.clone();
+                self.member_silent = true;
+                self.member_error.clear();
+                self.to_server = self.replay_buffer.clone();
                 self.steps.push_back(Step::Dial(dial));
             }
-            (Command::Abandon, State::Negotiating) => self.flow_over(),
-            // A client whose member stayed silent learns that, not that there was no room.
-            (Command::Reject(_), _) if self.silent => self.failed("remote-connection-failed"),
+            (Command::Abandon, State::Negotiating) => self.drop_flow(),
+            // If the last member did not answer, say so rather than report a lack of capacity.
+            (Command::Reject(_), _) if self.member_silent => self.fail_stream("remote-connection-failed"),
             (Command::Reject(ms), _) => {
-                let again = if ms >= 1.0 { format!("come again after {ms:.0} ms") } else { String::new() };
-                let text = "urn:ietf:params:xml:ns:xmpp-streams";
-                let mut error = format!("<stream:error><resource-constraint xmlns='{ERRORS}'/>");
-                if !again.is_empty() {
-                    error.push_str(&format!("<text xmlns='{text}' xml:lang='en'>{again}</text>"));
+                let retry_text =
+                    if ms >= 1.0 { format!("come again after {ms:.0} ms") } else { String::new() };
+                let text_namespace = "urn:ietf:params:xml:ns:xmpp-streams";
+                let mut error =
+                    format!("<stream:error><resource-constraint xmlns='{STREAM_ERROR_NAMESPACE}'/>");
+                if !retry_text.is_empty() {
+                    error.push_str(&format!(
+                        "<text xmlns='{text_namespace}' xml:lang='en'>{retry_text}</text>"
+                    ));
                 }
                 error.push_str("</stream:error>");
-                self.last_word(error.as_bytes());
+                self.close_with_error(error.as_bytes());
             }
-            (Command::Fail(Failure::Deadline), _) => self.failed("connection-timeout"),
-            (Command::Fail(_), _) => self.failed("remote-connection-failed"),
+            (Command::Fail(Failure::Deadline), _) => self.fail_stream("connection-timeout"),
+            (Command::Fail(_), _) => self.fail_stream("remote-connection-failed"),
             (Command::Move, _) => {
-                let other = self.realm.see_other.clone();
-                self.error("see-other-host", &other);
+                let other = self.settings.see_other.clone();
+                self.close_with_condition("see-other-host", &other);
             }
             _ => {}
         }
@@ -397,44 +428,46 @@
     fn take(&mut self, now: Millis, input: Input<'_>) {
         match input {
             Input::Client(bytes) => {
-                if !matches!(self.state, State::Ending | State::Over) {
-                    self.client.feed(bytes);
-                    self.client_sent(now);
+                if !matches!(self.state, State::Closing | State::Closed) {
+                    self.client_parser.feed(bytes);
+                    self.read_client_items(now);
                 }
             }
             Input::ClientEnd | Input::ClientReset => {
                 match self.state {
-                    State::Over => return,
-                    State::Ending => {}
-                    State::Header => self.say(Said::Bad(Bad::HalfClosed)),
-                    _ => self.say(Said::Left),
+                    State::Closed => return,
+                    State::Closing => {}
+                    State::AwaitingHeader => self.notify_broker(Said::Bad(Bad::HalfClosed)),
+                    _ => self.notify_broker(Said::Left),
                 }
-                self.close_flow();
-                self.over(Step::Finish);
+                self.close_member_stream();
+                self.close(Step::Finish);
             }
             Input::ServerOpen if self.state == State::Negotiating => {
-                self.connected = true;
-                self.say(Said::Connected);
+                self.flow_connected = true;
+                self.notify_broker(Said::Connected);
             }
-            Input::ServerRefused => self.flow_ended(Outcome::Unreachable),
+            Input::ServerRefused => self.handle_flow_end(Outcome::Unreachable),
             Input::Server(bytes) => {
-                self.server.feed(bytes);
-                self.server_sent(now);
+                self.member_parser.feed(bytes);
+                self.read_member_items(now);
             }
             Input::ServerEnd | Input::ServerReset => {
-                self.connected = false;
-                self.flow_ended(Outcome::Reset);
+                self.flow_connected = false;
+                self.handle_flow_end(Outcome::Reset);
             }
-            Input::Command(command) => self.command(command),
+            Input::Command(command) => self.handle_command(command),
             Input::Tick if self.due.is_some_and(|due| now >= due) => {
                 self.due = None;
                 match self.state {
-                    State::Header => self.bad_client(Bad::Silent, "connection-timeout", "silent client"),
-                    State::Ending => self.over(Step::Finish),
+                    State::AwaitingHeader => {
+                        self.fail_client(Bad::Silent, "connection-timeout", "silent client")
+                    }
+                    State::Closing => self.close(Step::Finish),
                     _ => {}
                 }
             }
-            Input::ServerWritten if self.state == State::Negotiating => self.say(Said::Sent),
+            Input::ServerWritten if self.state == State::Negotiating => self.notify_broker(Said::Sent),
             Input::ServerOpen | Input::ServerWritten | Input::Tick => {}
         }
     }
--- a/src/xmpp/xml.rs
+++ b/src/xmpp/xml.rs
@@ -1,4 +1,5 @@
-//! XML as streams use it: bytes are cut into stream headers, stanzas and the stream's end.
+//! An incremental parser for the XML of XMPP streams: it splits the bytes into stream headers, stanzas, white
+//! space and the stream's end.
 
 use winnow::Parser;
 use winnow::combinator::{alt, delimited, opt, preceded, repeat, terminated};
@@ -6,31 +7,32 @@
 use winnow::stream::Partial;
 use winnow::token::{literal, take_until, take_while};
 
-/// The longest tag, and the deepest nesting.
-const TAG: usize = 8 * 1024;
-const DEPTH: usize = 64;
+/// Longest tag or other markup that is accepted.
+const MAX_TAG_BYTES: usize = 8 * 1024;
+/// Deepest nesting of elements, the stream element included.
+const MAX_DEPTH: usize = 64;
 
-/// What stands at the top level of a stream. `bytes` is what came, unchanged.
+/// A top-level part of a stream. Its bytes are those received, unchanged.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Unit {
-    /// A stream header, the first one or that of a restart.
+pub(super) enum StreamItem {
+    /// A stream header: the first one, or that of a stream restart.
     Header { attributes: Vec<(String, String)>, bytes: Vec<u8> },
-    /// A whole stanza or other top-level element.
+    /// A complete stanza or other top-level element.
     Stanza { name: String, attributes: Vec<(String, String)>, children: Vec<Child>, bytes: Vec<u8> },
     /// White space between stanzas.
-    Space(Vec<u8>),
+    Whitespace(Vec<u8>),
     /// The end of the stream.
     End(Vec<u8>),
 }
 
-/// A child of a stanza: its name and, where it is stated, its namespace.
+/// A child element of a stanza: its name, and its namespace if it has an `xmlns` attribute.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Child {
     pub(super) name: String,
     pub(super) namespace: Option<String>,
 }
 
-/// The stream error that bad input deserves, by its RFC 6120 name.
+/// Invalid input, named after the stream error of RFC 6120 that answers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum XmlError {
     NotWellFormed,
@@ -40,6 +42,7 @@
 }
 
 impl XmlError {
+    /// The RFC 6120 name of the stream error.
     pub(super) fn condition(self) -> &'static str {
         match self {
             XmlError::NotWellFormed => "not-well-formed",
@@ -56,15 +59,16 @@
     children: Vec<Child>,
 }
 
-/// Cuts one direction of a stream. Holds at most one unit.
-pub(super) struct Cutter {
+/// Parses one direction of a stream. Buffers at most one incomplete item.
+pub(super) struct StreamParser {
     buffer: Vec<u8>,
-    /// Up to here the buffer has been read.
-    read: usize,
+    /// Length of the part of the buffer that is tokenized already.
+    tokenized: usize,
     /// Names of the open elements; the first is the stream.
-    open: Vec<String>,
+    open_elements: Vec<String>,
+    /// The stanza whose end has not been parsed yet.
     stanza: Option<Stanza>,
-    most: usize,
+    max_item_bytes: usize,
 }
 
 #[derive(Debug)]
@@ -76,95 +80,109 @@
     Restricted,
 }
 
-impl Cutter {
-    /// Units longer than `most` bytes are refused.
-    pub(super) fn new(most: usize) -> Self {
-        Cutter { buffer: Vec::new(), read: 0, open: Vec::new(), stanza: None, most }
+impl StreamParser {
+    /// Creates a parser that fails with [`XmlError::PolicyViolation`] on items of more than `max_item_bytes`.
+    pub(super) fn new(max_item_bytes: usize) -> Self {
+        StreamParser {
+            buffer: Vec::new(),
+            tokenized: 0,
+            open_elements: Vec::new(),
+            stanza: None,
+            max_item_bytes,
+        }
     }
 
     pub(super) fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole unit, if it has come.
-    pub(super) fn next(&mut self) -> Result<Option<Unit>, XmlError> {
+    /// Returns the next item; `None` if it is incomplete.
+    pub(super) fn next(&mut self) -> Result<Option<StreamItem>, XmlError> {
         loop {
-            let rest = &self.buffer[self.read..];
+            let rest = &self.buffer[self.tokenized..];
             if rest.is_empty() {
-                return self.size().map(|()| None);
+                return self.check_size().map(|()| None);
             }
             let mut input = Partial::new(rest);
             let token = match token.parse_next(&mut input) {
                 Ok(token) => token,
-                Err(ErrMode::Incomplete(_)) if rest.len() > TAG => return Err(XmlError::PolicyViolation),
-                Err(ErrMode::Incomplete(_)) => return self.size().map(|()| None),
+                Err(ErrMode::Incomplete(_)) if rest.len() > MAX_TAG_BYTES => {
+                    return Err(XmlError::PolicyViolation);
+                }
+                Err(ErrMode::Incomplete(_)) => return self.check_size().map(|()| None),
                 Err(_) => return Err(XmlError::NotWellFormed),
             };
-            self.read = self.buffer.len() - input.len();
-            self.size()?;
-            if let Some(unit) = self.place(token)? {
-                return Ok(Some(unit));
+            self.tokenized = self.buffer.len() - input.len();
+            self.check_size()?;
+            if let Some(item) = self.handle_token(token)? {
+                return Ok(Some(item));
             }
         }
     }
 
-    fn size(&self) -> Result<(), XmlError> {
-        if self.read > self.most {
+    fn check_size(&self) -> Result<(), XmlError> {
+        if self.tokenized > self.max_item_bytes {
             return Err(XmlError::PolicyViolation);
         }
         Ok(())
     }
 
-    fn cut(&mut self) -> Vec<u8> {
-        let read = std::mem::take(&mut self.read);
-        self.buffer.drain(..read).collect()
+    fn take_item_bytes(&mut self) -> Vec<u8> {
+        let item_bytes = std::mem::take(&mut self.tokenized);
+        self.buffer.drain(..item_bytes).collect()
     }
 
-    fn place(&mut self, token: Token) -> Result<Option<Unit>, XmlError> {
+    fn handle_token(&mut self, token: Token) -> Result<Option<StreamItem>, XmlError> {
         match token {
             Token::Restricted => Err(XmlError::RestrictedXml),
-            // Part of the header that follows it.
+            // Its bytes become part of the header that follows.
             Token::Declaration if self.stanza.is_none() => Ok(None),
             Token::Declaration => Err(XmlError::NotWellFormed),
             Token::Text { blank } if self.stanza.is_none() => {
                 if !blank {
                     return Err(XmlError::BadFormat);
                 }
-                // Space before the first header would hide that the stream has not begun.
-                Ok(if self.open.is_empty() { None } else { Some(Unit::Space(self.cut())) })
+                // White space before the first header becomes part of the header: as an item of its own it
+                // would conceal that the stream has not started.
+                Ok(if self.open_elements.is_empty() {
+                    None
+                } else {
+                    Some(StreamItem::Whitespace(self.take_item_bytes()))
+                })
             }
             Token::Text { .. } => Ok(None),
-            Token::Start { name, attributes, empty } => self.start(name, attributes, empty),
+            Token::Start { name, attributes, empty } => self.start_element(name, attributes, empty),
             Token::End(name) => {
-                if self.open.pop().as_deref() != Some(&name) {
+                if self.open_elements.pop().as_deref() != Some(&name) {
                     return Err(XmlError::NotWellFormed);
                 }
-                Ok(match self.open.len() {
-                    0 => Some(Unit::End(self.cut())),
-                    1 => self.whole(),
+                Ok(match self.open_elements.len() {
+                    0 => Some(StreamItem::End(self.take_item_bytes())),
+                    1 => self.end_stanza(),
                     _ => None,
                 })
             }
         }
     }
 
-    fn start(
+    /// Handles a start tag, or an empty-element tag if `empty`.
+    fn start_element(
         &mut self,
         name: String,
         attributes: Vec<(String, String)>,
         empty: bool,
-    ) -> Result<Option<Unit>, XmlError> {
-        for (at, (name, _)) in attributes.iter().enumerate() {
-            if attributes[..at].iter().any(|(earlier, _)| earlier == name) {
+    ) -> Result<Option<StreamItem>, XmlError> {
+        for (i, (name, _)) in attributes.iter().enumerate() {
+            if attributes[..i].iter().any(|(earlier, _)| earlier == name) {
                 return Err(XmlError::NotWellFormed);
             }
         }
         let header = name == "stream:stream";
-        match self.open.len() {
-            // A header at the top level of an open stream restarts it.
+        match self.open_elements.len() {
+            // A header inside an open stream, at its top level, restarts the stream.
             0 | 1 if header && !empty => {
-                self.open = vec![name];
-                return Ok(Some(Unit::Header { attributes, bytes: self.cut() }));
+                self.open_elements = vec![name];
+                return Ok(Some(StreamItem::Header { attributes, bytes: self.take_item_bytes() }));
             }
             0 => return Err(XmlError::BadFormat),
             1 => self.stanza = Some(Stanza { name: name.clone(), attributes, children: Vec::new() }),
@@ -175,19 +193,19 @@
                     stanza.children.push(Child { name: name.clone(), namespace });
                 }
             }
-            DEPTH.. => return Err(XmlError::PolicyViolation),
+            MAX_DEPTH.. => return Err(XmlError::PolicyViolation),
             _ => {}
         }
         if !empty {
-            self.open.push(name);
+            self.open_elements.push(name);
             return Ok(None);
         }
-        Ok(if self.open.len() == 1 { self.whole() } else { None })
+        Ok(if self.open_elements.len() == 1 { self.end_stanza() } else { None })
     }
 
-    fn whole(&mut self) -> Option<Unit> {
+    fn end_stanza(&mut self) -> Option<StreamItem> {
         let Stanza { name, attributes, children } = self.stanza.take()?;
-        Some(Unit::Stanza { name, attributes, children, bytes: self.cut() })
+        Some(StreamItem::Stanza { name, attributes, children, bytes: self.take_item_bytes() })
     }
 }
 
@@ -208,48 +226,49 @@
     .parse_next(input)
 }
 
-fn space(byte: u8) -> bool {
+fn is_space(byte: u8) -> bool {
     matches!(byte, b' ' | b'\t' | b'\r' | b'\n')
 }
 
-fn bad<T>() -> Parsed<T> {
+fn not_well_formed<T>() -> Parsed<T> {
     Err(ErrMode::Cut(ContextError::new()))
 }
 
-/// Text up to the next tag, or as far as it has come. A character or a reference may be cut at the end.
+/// Parses text up to the next tag, or to the end of what has been received. A character or an entity
+/// reference that is incomplete at the end of the input is left for the next call.
 fn text(input: &mut Input<'_>) -> Parsed<Token> {
     let bytes: &[u8] = input;
     let length = bytes.iter().position(|b| *b == b'<').unwrap_or(bytes.len());
-    let (whole, reaches_tag) = (&bytes[..length], length < bytes.len());
+    let (available, reaches_tag) = (&bytes[..length], length < bytes.len());
     let mut end = length;
-    if let Some(at) = whole.iter().rposition(|b| *b == b'&')
-        && !whole[at..].contains(&b';')
+    if let Some(reference) = available.iter().rposition(|b| *b == b'&')
+        && !available[reference..].contains(&b';')
     {
-        if reaches_tag || length - at > 12 {
-            return bad();
+        if reaches_tag || length - reference > 12 {
+            return not_well_formed();
         }
-        end = at;
+        end = reference;
     }
-    if let Err(error) = std::str::from_utf8(&whole[..end]) {
+    if let Err(error) = std::str::from_utf8(&available[..end]) {
         if error.error_len().is_some() || reaches_tag {
-            return bad();
+            return not_well_formed();
         }
         end = error.valid_up_to();
     }
-    let Ok(known) = std::str::from_utf8(&whole[..end]) else { return bad() };
-    if known.is_empty() {
+    let Ok(valid) = std::str::from_utf8(&available[..end]) else { return not_well_formed() };
+    if valid.is_empty() {
         return Err(ErrMode::Incomplete(winnow::error::Needed::Unknown));
     }
-    if !sound(known) {
+    if !references_allowed(valid) {
         return Ok(Token::Restricted);
     }
-    let blank = known.bytes().all(space);
+    let blank = valid.bytes().all(is_space);
     winnow::token::take(end).parse_next(input)?;
     Ok(Token::Text { blank })
 }
 
-/// Only the predefined entities and character references may stand in XMPP.
-fn sound(text: &str) -> bool {
+/// Whether the text refers only to predefined entities and to characters, as XMPP requires.
+fn references_allowed(text: &str) -> bool {
     text.split('&').skip(1).all(|part| {
         let name = part.split(';').next().unwrap_or("");
         matches!(name, "amp" | "lt" | "gt" | "quot" | "apos") || name.starts_with('#')
@@ -273,25 +292,25 @@
         Ok(name) if !name.starts_with(|c: char| c.is_ascii_digit() || c == '-' || c == '.') => {
             Ok(name.to_owned())
         }
-        _ => bad(),
+        _ => not_well_formed(),
     }
 }
 
 fn end(input: &mut Input<'_>) -> Parsed<Token> {
-    delimited("</", name, (take_while(0.., space), '>')).map(Token::End).parse_next(input)
+    delimited("</", name, (take_while(0.., is_space), '>')).map(Token::End).parse_next(input)
 }
 
 fn attribute(input: &mut Input<'_>) -> Parsed<(String, String)> {
-    let equals = (take_while(0.., space), '=', take_while(0.., space));
+    let equals = (take_while(0.., is_space), '=', take_while(0.., is_space));
     let quoted = alt((
         delimited('"', take_while(0.., |b: u8| b != b'"' && b != b'<'), '"'),
         delimited('\'', take_while(0.., |b: u8| b != b'\'' && b != b'<'), '\''),
     ));
     let (name, value): (String, &[u8]) =
-        preceded(take_while(1.., space), (terminated(name, equals), quoted)).parse_next(input)?;
+        preceded(take_while(1.., is_space), (terminated(name, equals), quoted)).parse_next(input)?;
     match std::str::from_utf8(value) {
-        Ok(value) if sound(value) => Ok((name, unescape(value))),
-        _ => bad(),
+        Ok(value) if references_allowed(value) => Ok((name, unescape(value))),
+        _ => not_well_formed(),
     }
 }
 
@@ -302,13 +321,13 @@
 }
 
 fn start(input: &mut Input<'_>) -> Parsed<Token> {
-    let parts = (name, repeat(0.., attribute), take_while(0.., space), opt('/'), '>');
+    let parts = (name, repeat(0.., attribute), take_while(0.., is_space), opt('/'), '>');
     let (name, attributes, _, empty, _): (String, Vec<_>, &[u8], Option<_>, _) =
         preceded('<', parts).parse_next(input)?;
     Ok(Token::Start { name, attributes, empty: empty.is_some() })
 }
 
-/// Text made fit to stand in XML.
+/// Escapes text for use in XML content and attribute values.
 pub(super) fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('\'', "&apos;").replace('"', "&quot;")
 }
--- a/src/xmpp/xml/tests.rs
+++ b/src/xmpp/xml/tests.rs
@@ -4,42 +4,43 @@
     xmlns:stream='http://etherx.jabber.org/streams' version='1.0'> <iq type='result' id='1'>\
     <bind xmlns='urn:ietf:params:xml:ns:xmpp-bind'><jid>x@a/é&amp;1</jid></bind></iq><a:r/></stream:stream>";
 
-fn cut(text: &[u8], step: usize, most: usize) -> Result<Vec<Unit>, XmlError> {
-    let mut cutter = Cutter::new(most);
-    let mut units = Vec::new();
-    for part in text.chunks(step) {
-        cutter.feed(part);
-        while let Some(unit) = cutter.next()? {
-            units.push(unit);
+fn parse(text: &[u8], chunk_bytes: usize, max_item_bytes: usize) -> Result<Vec<StreamItem>, XmlError> {
+    let mut parser = StreamParser::new(max_item_bytes);
+    let mut items = Vec::new();
+    for chunk in text.chunks(chunk_bytes) {
+        parser.feed(chunk);
+        while let Some(item) = parser.next()? {
+            items.push(item);
         }
     }
-    Ok(units)
+    Ok(items)
 }
 
-fn bytes(units: &[Unit]) -> Vec<u8> {
-    let of = |unit: &Unit| match unit {
-        Unit::Header { bytes, .. } | Unit::Stanza { bytes, .. } | Unit::Space(bytes) | Unit::End(bytes) => {
-            bytes.clone()
-        }
+fn bytes(items: &[StreamItem]) -> Vec<u8> {
+    let of = |item: &StreamItem| match item {
+        StreamItem::Header { bytes, .. }
+        | StreamItem::Stanza { bytes, .. }
+        | StreamItem::Whitespace(bytes)
+        | StreamItem::End(bytes) => bytes.clone(),
     };
-    units.iter().flat_map(of).collect()
+    items.iter().flat_map(of).collect()
 }
 
 #[test]
-fn a_stream_is_cut_the_same_however_it_comes() {
-    for step in 1..STREAM.len() {
-        let units = cut(STREAM.as_bytes(), step, 1_000).unwrap();
-        assert_eq!(bytes(&units), STREAM.as_bytes(), "{step}");
-        let Unit::Header { attributes, .. } = &units[0] else { panic!("{units:?}") };
+fn stream_parses_the_same_in_chunks_of_any_size() {
+    for chunk_bytes in 1..STREAM.len() {
+        let items = parse(STREAM.as_bytes(), chunk_bytes, 1_000).unwrap();
+        assert_eq!(bytes(&items), STREAM.as_bytes(), "{chunk_bytes}");
+        let StreamItem::Header { attributes, .. } = &items[0] else { panic!("{items:?}") };
         assert!(attributes.contains(&("to".into(), "a.example".into())));
-        let Unit::Stanza { name, children, .. } = &units[2] else { panic!("{units:?}") };
+        let StreamItem::Stanza { name, children, .. } = &items[2] else { panic!("{items:?}") };
         assert_eq!((&name[..], &children[0].name[..]), ("iq", "bind"));
-        assert!(matches!(units.last(), Some(Unit::End(_))));
+        assert!(matches!(items.last(), Some(StreamItem::End(_))));
     }
 }
 
 #[test]
-fn bad_input_gets_the_error_that_the_rfc_names() {
+fn invalid_input_fails_with_the_stream_error_that_the_rfc_names() {
     let open = "<stream:stream to='a'>";
     for (text, error) in [
         ("hello".to_owned(), XmlError::BadFormat),
@@ -52,10 +53,10 @@
         (format!("{open}<?php ?>"), XmlError::RestrictedXml),
         (format!("{open}<a>&nbsp;</a>"), XmlError::RestrictedXml),
         (format!("{open}<a>{}</a>", "x".repeat(2_000)), XmlError::PolicyViolation),
-        (format!("{open}<a {}", "x".repeat(TAG)), XmlError::PolicyViolation),
-        (format!("{open}{}", "<a>".repeat(DEPTH + 1)), XmlError::PolicyViolation),
+        (format!("{open}<a {}", "x".repeat(MAX_TAG_BYTES)), XmlError::PolicyViolation),
+        (format!("{open}{}", "<a>".repeat(MAX_DEPTH + 1)), XmlError::PolicyViolation),
     ] {
-        assert_eq!(cut(text.as_bytes(), 512, 1_000), Err(error), "{text:.60}");
+        assert_eq!(parse(text.as_bytes(), 512, 1_000), Err(error), "{text:.60}");
     }
-    assert_eq!(cut(b"<stream:stream to='a'><a>\xff\xfe</a>", 512, 1_000), Err(XmlError::NotWellFormed));
+    assert_eq!(parse(b"<stream:stream to='a'><a>\xff\xfe</a>", 512, 1_000), Err(XmlError::NotWellFormed));
 }
