--- a/src/platform/first_line.rs
+++ b/src/platform/first_line.rs
@@ -1,9 +1,9 @@
 //! Reads a client's first line into a request, or into the error that the client is answered with.
 
 use super::parse::{self, ClientLine, OpenLine};
-use super::{MAX_LINE_BYTES, Names};
+use super::{MAX_LINE_BYTES, PlatformSettings};
 use crate::api::{AffinityKey, ClassId, Millis, TenantId};
-use crate::broker::{Ask, Bad, Coming};
+use crate::broker::{ArrivalKind, ClientError, ClientRequest};
 use crate::pool::name_hash;
 
 /// Subtracted from `d`, which counts from when the client sent its line, to cover the transit of the line and
@@ -22,13 +22,13 @@
         /// The line as received, without its line end; it is forwarded to the member.
         line: String,
         /// The request for the broker.
-        ask: Box<Ask>,
+        ask: Box<ClientRequest>,
     },
 }
 
 /// Why a client is answered `ERR` before the broker sees its request.
 pub(super) struct FirstLineError {
-    pub(super) kind: Bad,
+    pub(super) kind: ClientError,
     /// Sent to the client and logged.
     pub(super) message: &'static str,
     /// Only logged.
@@ -36,16 +36,16 @@
 }
 
 impl FirstLineError {
-    fn new(kind: Bad, message: &'static str, detail: String) -> Self {
+    fn new(kind: ClientError, message: &'static str, detail: String) -> Self {
         FirstLineError { kind, message, detail }
     }
 
     fn too_long(bytes: usize) -> Self {
-        FirstLineError::new(Bad::TooLong, "first line too long", format!("{bytes} bytes"))
+        FirstLineError::new(ClientError::TooLong, "first line too long", format!("{bytes} bytes"))
     }
 
     /// An error that logs the start of the line, escaped so that it can't break the lines of the log.
-    fn with_line(kind: Bad, message: &'static str, line: &[u8]) -> Self {
+    fn with_line(kind: ClientError, message: &'static str, line: &[u8]) -> Self {
         FirstLineError::new(
             kind,
             message,
@@ -54,7 +54,7 @@
     }
 
     fn malformed(line: &[u8]) -> Self {
-        FirstLineError::with_line(Bad::Malformed, "malformed first line", line)
+        FirstLineError::with_line(ClientError::Malformed, "malformed first line", line)
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 /// Parses a first line and resolves its names against the settings.
-pub(super) fn read(line: &[u8], settings: &Names) -> Result<FirstLine, FirstLineError> {
+pub(super) fn read(line: &[u8], settings: &PlatformSettings) -> Result<FirstLine, FirstLineError> {
     let text = std::str::from_utf8(line).map_err(|_| FirstLineError::malformed(line))?;
     match parse::client_line(text) {
         None => Err(FirstLineError::malformed(line)),
@@ -89,8 +89,12 @@
     }
 }
 
-fn ask(open: &OpenLine<'_>, settings: &Names, line: &[u8]) -> Result<Ask, FirstLineError> {
-    let unknown = |message| FirstLineError::with_line(Bad::Unknown, message, line);
+fn ask(
+    open: &OpenLine<'_>,
+    settings: &PlatformSettings,
+    line: &[u8],
+) -> Result<ClientRequest, FirstLineError> {
+    let unknown = |message| FirstLineError::with_line(ClientError::Unknown, message, line);
     let class = index_of(&settings.classes, open.field("c")).ok_or_else(|| unknown("unknown class"))?;
     let tenant = match open.field("t") {
         None if settings.tenants.is_empty() => 0,
@@ -101,7 +105,7 @@
     if !open.fields_valid() {
         return Err(FirstLineError::malformed(line));
     }
-    Ok(Ask {
+    Ok(ClientRequest {
         name: Some(open.id.into()),
         class: ClassId(class),
         tenant: TenantId(tenant),
@@ -121,10 +125,10 @@
     names.iter().position(|known| known == name).map(|index| index as u32)
 }
 
-fn coming(open: &OpenLine<'_>) -> Coming {
+fn coming(open: &OpenLine<'_>) -> ArrivalKind {
     match (open.field("again"), open.field("r")) {
-        (Some("1"), _) => Coming::Return,
-        (_, Some("1")) => Coming::Retry,
-        _ => Coming::First,
+        (Some("1"), _) => ArrivalKind::Return,
+        (_, Some("1")) => ArrivalKind::Retry,
+        _ => ArrivalKind::First,
     }
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -9,9 +9,9 @@
 pub use probe::Probe;
 
 use crate::api::*;
-use crate::broker::{Bad, Command, Said};
+use crate::broker::{ClientError, Command, FrontEvent};
 use crate::config::Site;
-use crate::front::{BUFFER, FIRST_MS, Front, Input, Step};
+use crate::front::{FIRST_LINE_TIMEOUT_MS, Front, Input, MAX_BUFFERED_BYTES, Step};
 use first_line::{FirstLine, FirstLineError};
 use parse::{ClientLine, MemberLine};
 use relay::Relay;
@@ -27,23 +27,23 @@
 
 /// The settings that the front needs.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct PlatformSettings {
     classes: Vec<String>,
     tenants: Vec<String>,
     /// Pool members send `LOAD` lines on connections.
-    tells_load: bool,
+    has_load_lines: bool,
     /// Pool members append a load report to `BYE`, `BUSY` and `ERR`.
-    answers_report: bool,
+    has_load_reports: bool,
 }
 
-impl Names {
+impl PlatformSettings {
     /// Copies them from the site's settings.
     pub fn new(site: &Site) -> Self {
-        Names {
+        PlatformSettings {
             classes: site.classes.clone(),
             tenants: site.tenants.clone(),
-            tells_load: site.tells_load,
-            answers_report: site.answers_report,
+            has_load_lines: site.has_load_lines,
+            has_load_reports: site.has_load_reports,
         }
     }
 }
@@ -69,7 +69,7 @@
 
 /// One client connection.
 pub struct Session {
-    settings: Rc<Names>,
+    settings: Rc<PlatformSettings>,
     state: State,
     /// The client's first line, without its line end.
     line: String,
@@ -78,7 +78,7 @@
     /// Bytes of the member's incomplete answer to the first line.
     from_server: Vec<u8>,
     to_client: Vec<u8>,
-    to_server: Vec<u8>,
+    to_member: Vec<u8>,
     steps: VecDeque<Step>,
     /// Deadline of the current state.
     due: Option<Millis>,
@@ -89,7 +89,7 @@
 
 impl Session {
     /// Creates the session of a connection accepted at `now`.
-    pub fn new(now: Millis, settings: Rc<Names>) -> Self {
+    pub fn new(now: Millis, settings: Rc<PlatformSettings>) -> Self {
         Session {
             settings,
             state: State::AwaitingFirstLine,
@@ -97,16 +97,16 @@
             from_client: Vec::new(),
             from_server: Vec::new(),
             to_client: Vec::new(),
-            to_server: Vec::new(),
+            to_member: Vec::new(),
             steps: VecDeque::new(),
-            due: Some(now + FIRST_MS),
+            due: Some(now + FIRST_LINE_TIMEOUT_MS),
             client_ended: false,
             answered_ping: false,
         }
     }
 
-    fn notify_broker(&mut self, event: Said) {
-        self.steps.push_back(Step::Say(event));
+    fn notify_broker(&mut self, event: FrontEvent) {
+        self.steps.push_back(Step::Notify(event));
     }
 
     /// Sends the final answer and closes the connection.
@@ -125,7 +125,7 @@
     fn fail_first_line(&mut self, error: FirstLineError) {
         let FirstLineError { kind, message, detail } = error;
         self.steps.push_back(Step::Log { what: message, detail });
-        self.notify_broker(Said::Bad(kind));
+        self.notify_broker(FrontEvent::ClientError(kind));
         self.finish(&format!("ERR {message}"));
     }
 
@@ -140,13 +140,13 @@
             Ok(FirstLine::Ping) => {
                 self.state = State::Ping;
                 self.due = None;
-                self.notify_broker(Said::Ping);
+                self.notify_broker(FrontEvent::Ping);
             }
             Ok(FirstLine::Open { line, ask }) => {
                 self.line = line;
                 self.state = State::AwaitingFlow;
                 self.due = None;
-                self.notify_broker(Said::Ask(*ask));
+                self.notify_broker(FrontEvent::ClientRequest(*ask));
             }
         }
     }
@@ -158,14 +158,14 @@
                 self.to_client.extend_from_slice(b"PONG\r\n");
                 self.state = State::AwaitingFirstLine;
                 self.answered_ping = true;
-                self.due = Some(now + FIRST_MS);
+                self.due = Some(now + FIRST_LINE_TIMEOUT_MS);
                 self.read_first_line();
             }
             // The checker takes any answer but `PONG` as not ready.
             (Command::Unready, State::Ping) => self.finish("ERR Unready"),
             (Command::Open { dial, wait_ms, .. }, State::AwaitingFlow) => {
                 if let Some(ClientLine::Open(open)) = parse::client_line(&self.line) {
-                    self.to_server = open.forwarded(wait_ms.max(1.0) as u64).into_bytes();
+                    self.to_member = open.forwarded(wait_ms.max(1.0) as u64).into_bytes();
                 }
                 self.from_server.clear();
                 self.state = State::Opening { request_written: false };
@@ -188,10 +188,10 @@
     /// Closes the flow. The step is queued before the broker is told, so that two flows of one transaction
     /// are never open at once.
     fn drop_flow(&mut self) {
-        self.to_server.clear();
+        self.to_member.clear();
         self.from_server.clear();
         self.state = State::AwaitingFlow;
-        self.steps.push_back(Step::DropServer);
+        self.steps.push_back(Step::CloseMember);
     }
 
     /// Sends `MOVE` if the member's current line has ended. With `force` it is sent on a new line even if the
@@ -204,7 +204,7 @@
             } else {
                 b"\r\nMOVE\r\n"
             });
-            self.steps.push_back(Step::DropServer);
+            self.steps.push_back(Step::CloseMember);
             self.close(Step::Finish);
         }
     }
@@ -212,8 +212,8 @@
     /// Closes a flow that did not become a connection and reports its outcome to the broker.
     fn end_flow(&mut self, outcome: Outcome, report: Option<Report>) {
         self.drop_flow();
-        let report = report.filter(|_| self.settings.answers_report);
-        self.notify_broker(Said::Ended(outcome, report));
+        let report = report.filter(|_| self.settings.has_load_reports);
+        self.notify_broker(FrontEvent::Ended(outcome, report));
     }
 
     /// Reads the pool member's answer to the first line, once it is complete.
@@ -235,18 +235,21 @@
                 self.to_client.extend_from_slice(&bytes);
                 let waiting = std::mem::take(&mut self.from_client);
                 relay.client_sent(now, &waiting);
-                self.to_server.extend_from_slice(&waiting);
+                self.to_member.extend_from_slice(&waiting);
                 self.state = State::Up(relay);
-                self.notify_broker(Said::Up);
+                self.notify_broker(FrontEvent::Up);
                 self.report_relay_events(events);
                 if self.client_ended {
-                    self.steps.push_back(Step::EndServer);
+                    self.steps.push_back(Step::ShutdownMember);
                     self.due = Some(now + HALF_CLOSE_TIMEOUT_MS);
                 }
             }
             MemberLine::Bye => {
-                self.notify_broker(Said::Ended(Outcome::Ok, report.filter(|_| self.settings.answers_report)));
-                self.steps.push_back(Step::DropServer);
+                self.notify_broker(FrontEvent::Ended(
+                    Outcome::Ok,
+                    report.filter(|_| self.settings.has_load_reports),
+                ));
+                self.steps.push_back(Step::CloseMember);
                 self.finish(&line);
             }
             MemberLine::Move => self.end_flow(Outcome::Cancelled, None),
@@ -260,8 +263,10 @@
     fn report_relay_events(&mut self, events: Vec<relay::Event>) {
         for event in events {
             match event {
-                relay::Event::Reply(ms) => self.notify_broker(Said::Message(ms)),
-                relay::Event::Load(load) if self.settings.tells_load => self.notify_broker(Said::Load(load)),
+                relay::Event::Reply(ms) => self.notify_broker(FrontEvent::Message(ms)),
+                relay::Event::Load(load) if self.settings.has_load_lines => {
+                    self.notify_broker(FrontEvent::Load(load))
+                }
                 relay::Event::Load(_) => {}
             }
         }
@@ -281,16 +286,16 @@
                 if self.from_client.len() > MAX_LINE_BYTES {
                     let detail = format!("{} bytes", self.from_client.len());
                     self.steps.push_back(Step::Log { what: "client does not wait", detail });
-                    self.notify_broker(Said::Bad(Bad::TooLong));
+                    self.notify_broker(FrontEvent::ClientError(ClientError::TooLong));
                     self.client_left("ERR client does not wait");
                 }
             }
             State::Up(relay) => {
                 relay.client_sent(now, bytes);
-                self.to_server.extend_from_slice(bytes);
+                self.to_member.extend_from_slice(bytes);
                 self.set_reply_timer(now);
             }
-            State::MemberEnded => self.to_server.extend_from_slice(bytes),
+            State::MemberEnded => self.to_member.extend_from_slice(bytes),
             State::Moving(_) | State::Closed => {}
         }
     }
@@ -330,8 +335,8 @@
     /// Tells the broker that the client no longer waits, drops the flow and closes the connection with
     /// `answer`.
     fn client_left(&mut self, answer: &str) {
-        self.notify_broker(Said::Left);
-        self.steps.push_back(Step::DropServer);
+        self.notify_broker(FrontEvent::Left);
+        self.steps.push_back(Step::CloseMember);
         self.finish(answer);
     }
 
@@ -341,16 +346,20 @@
             State::AwaitingFirstLine if self.from_client.is_empty() => self.close(Step::Finish),
             State::AwaitingFirstLine => {
                 let detail = format!("{} bytes", self.from_client.len());
-                self.fail_first_line(FirstLineError { kind: Bad::HalfClosed, message: "early close", detail })
+                self.fail_first_line(FirstLineError {
+                    kind: ClientError::HalfClosed,
+                    message: "early close",
+                    detail,
+                })
             }
             State::Ping | State::AwaitingFlow | State::Opening { .. } => self.client_left("ERR early close"),
             State::Up(_) => {
-                self.steps.push_back(Step::EndServer);
+                self.steps.push_back(Step::ShutdownMember);
                 self.due = Some(now + HALF_CLOSE_TIMEOUT_MS);
             }
             State::Moving(_) => self.try_send_move(true),
             State::MemberEnded => {
-                self.steps.push_back(Step::EndServer);
+                self.steps.push_back(Step::ShutdownMember);
                 self.close(Step::Finish);
             }
             State::Closed => {}
@@ -365,10 +374,10 @@
             }
             State::Up(relay) => {
                 let event = match relay.last_line() {
-                    Some(MemberLine::Bye) => Said::Ended(Outcome::Ok, None),
-                    Some(MemberLine::Move) => Said::SentAway,
-                    _ if self.client_ended => Said::Ended(Outcome::Cancelled, None),
-                    _ => Said::Ended(Outcome::Reset, None),
+                    Some(MemberLine::Bye) => FrontEvent::Ended(Outcome::Ok, None),
+                    Some(MemberLine::Move) => FrontEvent::MovedByMember,
+                    _ if self.client_ended => FrontEvent::Ended(Outcome::Cancelled, None),
+                    _ => FrontEvent::Ended(Outcome::Reset, None),
                 };
                 self.notify_broker(event);
                 // Close the client's connection in the way the member closed its own: by a reset or a
@@ -378,7 +387,7 @@
                 } else if self.client_ended {
                     self.close(Step::Finish);
                 } else {
-                    self.steps.push_back(Step::EndClient);
+                    self.steps.push_back(Step::ShutdownClient);
                     self.state = State::MemberEnded;
                     self.due = Some(now + HALF_CLOSE_TIMEOUT_MS);
                 }
@@ -394,37 +403,37 @@
     fn take(&mut self, now: Millis, input: Input<'_>) {
         match input {
             Input::Client(bytes) => self.handle_client_bytes(now, bytes),
-            Input::ClientEnd => self.handle_client_end(now),
+            Input::ClientEof => self.handle_client_end(now),
             Input::ClientReset => match &self.state {
                 State::Closed => {}
                 State::AwaitingFirstLine | State::MemberEnded | State::Moving(_) => {
                     self.close(Step::ResetClient)
                 }
                 _ => {
-                    self.notify_broker(Said::Left);
-                    self.steps.push_back(Step::ResetServer);
+                    self.notify_broker(FrontEvent::Left);
+                    self.steps.push_back(Step::ResetMember);
                     self.close(Step::ResetClient);
                 }
             },
-            Input::ServerOpen => {
+            Input::MemberConnected => {
                 if matches!(self.state, State::Opening { .. }) {
-                    self.notify_broker(Said::Connected);
+                    self.notify_broker(FrontEvent::Connected);
                 }
             }
-            Input::ServerRefused => {
+            Input::MemberConnectFailed => {
                 if matches!(self.state, State::Opening { .. }) {
                     self.end_flow(Outcome::Unreachable, None);
                 }
             }
-            Input::Server(bytes) => self.handle_member_bytes(now, bytes),
-            Input::ServerWritten => {
+            Input::Member(bytes) => self.handle_member_bytes(now, bytes),
+            Input::MemberWritten => {
                 if let State::Opening { request_written } = &mut self.state {
                     *request_written = true;
-                    self.notify_broker(Said::Sent);
+                    self.notify_broker(FrontEvent::Sent);
                 }
             }
-            Input::ServerEnd => self.handle_member_end(now, false),
-            Input::ServerReset => self.handle_member_end(now, true),
+            Input::MemberEof => self.handle_member_end(now, false),
+            Input::MemberReset => self.handle_member_end(now, true),
             Input::Command(command) => self.handle_command(now, command),
             Input::Tick => {
                 if self.due.is_none_or(|due| now < due) {
@@ -438,7 +447,7 @@
                     State::AwaitingFirstLine => {
                         let detail = format!("{} bytes", self.from_client.len());
                         self.fail_first_line(FirstLineError {
-                            kind: Bad::Silent,
+                            kind: ClientError::Silent,
                             message: "silent client",
                             detail,
                         })
@@ -446,13 +455,13 @@
                     State::Moving(_) => self.try_send_move(true),
                     State::MemberEnded => self.close(Step::Finish),
                     State::Up(_) if self.client_ended => {
-                        self.notify_broker(Said::Left);
-                        self.steps.push_back(Step::DropServer);
+                        self.notify_broker(FrontEvent::Left);
+                        self.steps.push_back(Step::CloseMember);
                         self.close(Step::Finish);
                     }
                     State::Up(relay) if relay.reply_deadline().is_some_and(|deadline| now >= deadline) => {
                         self.steps.push_back(Step::Log { what: "mute connection", detail: String::new() });
-                        self.notify_broker(Said::Ended(Outcome::TimedOut, None));
+                        self.notify_broker(FrontEvent::Ended(Outcome::TimedOut, None));
                         self.handle_command(now, Command::Move);
                     }
                     _ => {}
@@ -473,19 +482,19 @@
         &mut self.to_client
     }
 
-    fn to_server(&mut self) -> &mut Vec<u8> {
-        &mut self.to_server
+    fn to_member(&mut self) -> &mut Vec<u8> {
+        &mut self.to_member
     }
 
     fn reads_client(&self) -> bool {
         match self.state {
-            State::Up(_) | State::MemberEnded => self.to_server.len() < BUFFER,
+            State::Up(_) | State::MemberEnded => self.to_member.len() < MAX_BUFFERED_BYTES,
             // A client that awaits its answer is still read, so that its end is noticed.
             _ => true,
         }
     }
 
-    fn reads_server(&self) -> bool {
-        self.to_client.len() < BUFFER
+    fn reads_member(&self) -> bool {
+        self.to_client.len() < MAX_BUFFERED_BYTES
     }
 }
--- a/src/platform/probe.rs
+++ b/src/platform/probe.rs
@@ -14,7 +14,7 @@
 
 impl Probe {
     /// The request that the member answers.
-    pub const ASK: &'static [u8] = b"STATS\r\n";
+    pub const REQUEST: &'static [u8] = b"STATS\r\n";
 
     /// Takes received bytes; returns the probe's outcome once the answer is complete.
     pub fn take(&mut self, bytes: &[u8]) -> Option<(Outcome, Option<ProbeReport>)> {
@@ -46,7 +46,7 @@
 
     /// The outcome if the connection closes or breaks now: after a `PONG` the probe succeeded even without a
     /// report.
-    pub fn broke(&self) -> Outcome {
+    pub fn outcome_if_closed(&self) -> Outcome {
         if self.awaits_report { Outcome::Ok } else { Outcome::Reset }
     }
 }
--- a/src/xmpp/mod.rs
+++ b/src/xmpp/mod.rs
@@ -8,8 +8,8 @@
 mod xml;
 
 use crate::api::*;
-use crate::broker::{Ask, Bad, Coming, Command, Failure, Said};
-use crate::front::{BUFFER, FIRST_MS, Front, Input, Step};
+use crate::broker::{ArrivalKind, ClientError, ClientRequest, Command, Failure, FrontEvent};
+use crate::front::{FIRST_LINE_TIMEOUT_MS, Front, Input, MAX_BUFFERED_BYTES, Step};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use xml::{Child, StreamItem, StreamParser, XmlError, escape};
@@ -23,13 +23,13 @@
 
 /// The settings that the front needs from the operator's file and the inventory.
 #[derive(Clone, Debug, Default)]
-pub struct Realm {
+pub struct XmppSettings {
     /// Name of each service and deadline for the negotiation of its streams, in ms, indexed by class.
     pub services: Vec<(String, Millis)>,
     /// Domains of each team, indexed by tenant.
     pub teams: Vec<Vec<String>>,
     /// Tenant of clients whose `from` names no domain; without it they are refused.
-    pub listener_team: Option<u32>,
+    pub default_team: Option<u32>,
     /// Longest stanza that is accepted, in bytes.
     pub stanza_bytes: usize,
     /// Address sent in `see-other-host`, to which moved clients reconnect.
@@ -54,7 +54,7 @@
 
 /// One client stream.
 pub struct Session {
-    settings: Rc<Realm>,
+    settings: Rc<XmppSettings>,
     state: State,
     client_parser: StreamParser,
     member_parser: StreamParser,
@@ -77,7 +77,7 @@
     /// The stream error with which the member closed its stream.
     member_error: Vec<u8>,
     to_client: Vec<u8>,
-    to_server: Vec<u8>,
+    to_member: Vec<u8>,
     steps: VecDeque<Step>,
     /// Deadline of the current state.
     due: Option<Millis>,
@@ -85,7 +85,7 @@
 
 impl Session {
     /// Creates the session of a connection accepted at `now`.
-    pub fn new(now: Millis, settings: Rc<Realm>) -> Self {
+    pub fn new(now: Millis, settings: Rc<XmppSettings>) -> Self {
         Session {
             state: State::AwaitingHeader,
             client_parser: StreamParser::new(settings.stanza_bytes),
@@ -100,14 +100,14 @@
             member_silent: false,
             member_error: Vec::new(),
             to_client: Vec::new(),
-            to_server: Vec::new(),
+            to_member: Vec::new(),
             steps: VecDeque::new(),
-            due: Some(now + FIRST_MS),
+            due: Some(now + FIRST_LINE_TIMEOUT_MS),
         }
     }
 
-    fn notify_broker(&mut self, event: Said) {
-        self.steps.push_back(Step::Say(event));
+    fn notify_broker(&mut self, event: FrontEvent) {
+        self.steps.push_back(Step::Notify(event));
     }
 
     fn close(&mut self, step: Step) {
@@ -146,16 +146,16 @@
     /// Closes the member's stream gracefully if one is open.
     fn close_member_stream(&mut self) {
         if matches!(self.state, State::Negotiating | State::Up | State::Closing) {
-            self.to_server.extend_from_slice(b"</stream:stream>");
+            self.to_member.extend_from_slice(b"</stream:stream>");
         }
     }
 
     /// Ends the transaction because of an error of the client, and closes what was opened for it.
-    fn fail_client(&mut self, kind: Bad, condition: &'static str, what: &'static str) {
+    fn fail_client(&mut self, kind: ClientError, condition: &'static str, what: &'static str) {
         self.steps.push_back(Step::Log { what, detail: condition.to_owned() });
         self.notify_broker(match self.state {
-            State::AwaitingHeader => Said::Bad(kind),
-            _ => Said::Left,
+            State::AwaitingHeader => FrontEvent::ClientError(kind),
+            _ => FrontEvent::Left,
         });
         self.close_with_condition(condition, "");
     }
@@ -169,7 +169,7 @@
                 Ok(None) => return,
                 Err(error) => {
                     let too_long = error == XmlError::PolicyViolation;
-                    let kind = if too_long { Bad::TooLong } else { Bad::Malformed };
+                    let kind = if too_long { ClientError::TooLong } else { ClientError::Malformed };
                     return self.fail_client(kind, error.condition(), "bad stream");
                 }
             }
@@ -182,11 +182,11 @@
                 self.handle_client_header(&attributes, bytes)
             }
             (State::AwaitingHeader, _) => {
-                self.fail_client(Bad::Malformed, XmlError::BadFormat.condition(), "bad stream")
+                self.fail_client(ClientError::Malformed, XmlError::BadFormat.condition(), "bad stream")
             }
             (_, StreamItem::Stanza { name, .. }) if name == "starttls" => {
                 // TLS is not supported. RFC 6120, 5.4.2.2 requires a failure and the end of the stream.
-                self.notify_broker(Said::Left);
+                self.notify_broker(FrontEvent::Left);
                 self.send_header();
                 let failure: &[u8] = b"<failure xmlns='urn:ietf:params:xml:ns:xmpp-tls'/></stream:stream>";
                 self.to_client.extend_from_slice(failure);
@@ -194,17 +194,17 @@
                 self.close(Step::Finish);
             }
             (State::AwaitingFlow | State::Negotiating, StreamItem::End(bytes)) => {
-                self.to_server.extend_from_slice(&bytes);
-                self.notify_broker(Said::Left);
+                self.to_member.extend_from_slice(&bytes);
+                self.notify_broker(FrontEvent::Left);
                 self.send_header();
                 self.to_client.extend_from_slice(b"</stream:stream>");
                 self.close(Step::Finish);
             }
             (_, StreamItem::End(bytes)) => {
-                self.to_server.extend_from_slice(&bytes);
+                self.to_member.extend_from_slice(&bytes);
                 self.state = State::Closing;
                 self.due = Some(now + STREAM_CLOSE_TIMEOUT_MS);
-                self.notify_broker(Said::Left);
+                self.notify_broker(FrontEvent::Left);
             }
             (
                 state,
@@ -216,14 +216,14 @@
                     self.replay_buffer.extend_from_slice(&bytes);
                     if self.replay_buffer.len() > self.settings.stanza_bytes {
                         return self.fail_client(
-                            Bad::TooLong,
+                            ClientError::TooLong,
                             "policy-violation",
                             "too much before the answer",
                         );
                     }
                 }
                 if state != State::AwaitingFlow {
-                    self.to_server.extend_from_slice(&bytes);
+                    self.to_member.extend_from_slice(&bytes);
                 }
             }
         }
@@ -235,28 +235,28 @@
         };
         let (to, from) = (value("to").to_owned(), value("from").to_owned());
         if value("xmlns:stream") != "http://etherx.jabber.org/streams" || value("xmlns") != "jabber:client" {
-            return self.fail_client(Bad::Malformed, "invalid-namespace", "bad stream header");
+            return self.fail_client(ClientError::Malformed, "invalid-namespace", "bad stream header");
         }
         if !value("version").starts_with("1.") {
-            return self.fail_client(Bad::Malformed, "unsupported-version", "bad stream header");
+            return self.fail_client(ClientError::Malformed, "unsupported-version", "bad stream header");
         }
         let Some(class) = self.settings.services.iter().position(|(name, _)| *name == to) else {
-            return self.fail_client(Bad::Unknown, "host-unknown", "unknown service");
+            return self.fail_client(ClientError::Unknown, "host-unknown", "unknown service");
         };
         let domain = from.split('/').next().unwrap_or("").rsplit('@').next().unwrap_or("");
         let team = self.settings.teams.iter().position(|domains| domains.iter().any(|known| known == domain));
         let team = match (domain, team) {
-            ("", _) => self.settings.listener_team,
+            ("", _) => self.settings.default_team,
             (_, team) => team.map(|team| team as u32),
         };
         let Some(team) = team else {
-            return self.fail_client(Bad::Unknown, "invalid-from", "unknown team");
+            return self.fail_client(ClientError::Unknown, "invalid-from", "unknown team");
         };
         self.service = to;
         self.replay_buffer = bytes;
         self.state = State::AwaitingFlow;
         self.due = None;
-        self.notify_broker(Said::Ask(Ask {
+        self.notify_broker(FrontEvent::ClientRequest(ClientRequest {
             name: None,
             class: ClassId(class as u32),
             tenant: TenantId(team),
@@ -265,7 +265,7 @@
             grace_ms: self.settings.services[class].1 - ANSWER_MARGIN_MS,
             load_hint: None,
             adopted: None,
-            coming: Coming::First,
+            coming: ArrivalKind::First,
             negotiates: true,
         }));
     }
@@ -307,11 +307,11 @@
                     self.close(Step::Finish);
                 }
                 _ => {
-                    self.notify_broker(Said::Ended(Outcome::Ok, None));
+                    self.notify_broker(FrontEvent::Ended(Outcome::Ok, None));
                     self.to_client.extend_from_slice(&bytes);
                     self.state = State::Closing;
                     self.due = Some(now + STREAM_CLOSE_TIMEOUT_MS);
-                    self.steps.push_back(Step::EndClient);
+                    self.steps.push_back(Step::ShutdownClient);
                 }
             },
             StreamItem::Stanza { name, attributes, children, bytes } => {
@@ -326,7 +326,7 @@
                     && children.iter().any(is_bind)
                 {
                     self.state = State::Up;
-                    self.notify_broker(Said::Up);
+                    self.notify_broker(FrontEvent::Up);
                 }
             }
             StreamItem::Header { bytes, .. } | StreamItem::Whitespace(bytes) => self.send_to_client(&bytes),
@@ -336,7 +336,7 @@
     /// Relays bytes of the member to the client. The first ones commit the client to this member.
     fn send_to_client(&mut self, bytes: &[u8]) {
         if !std::mem::replace(&mut self.committed, true) {
-            self.notify_broker(Said::Committed);
+            self.notify_broker(FrontEvent::Committed);
             self.header_sent = true;
             self.replay_buffer = Vec::new();
             let header = std::mem::take(&mut self.held_header);
@@ -351,11 +351,11 @@
             State::Negotiating => {
                 self.drop_flow();
                 self.member_silent = false;
-                self.notify_broker(Said::Ended(outcome, None));
+                self.notify_broker(FrontEvent::Ended(outcome, None));
             }
             State::Up => {
-                self.notify_broker(Said::Ended(outcome, None));
-                self.to_server.clear();
+                self.notify_broker(FrontEvent::Ended(outcome, None));
+                self.to_member.clear();
                 self.fail_stream("remote-connection-failed");
             }
             State::Closing => self.close(Step::Finish),
@@ -368,11 +368,11 @@
     fn drop_flow(&mut self) {
         self.state = State::AwaitingFlow;
         // Close the member's stream gracefully if its connection is established.
-        self.to_server = if self.flow_connected { b"</stream:stream>".to_vec() } else { Vec::new() };
+        self.to_member = if self.flow_connected { b"</stream:stream>".to_vec() } else { Vec::new() };
         self.flow_connected = false;
         self.held_header.clear();
         self.member_parser = StreamParser::new(self.settings.stanza_bytes);
-        self.steps.push_back(Step::DropServer);
+        self.steps.push_back(Step::CloseMember);
     }
 
     /// Closes the client's stream: with the member's stream error if the client is committed to that member
@@ -393,7 +393,7 @@
                 self.state = State::Negotiating;
                 self.member_silent = true;
                 self.member_error.clear();
-                self.to_server = self.replay_buffer.clone();
+                self.to_member = self.replay_buffer.clone();
                 self.steps.push_back(Step::Dial(dial));
             }
             (Command::Abandon, State::Negotiating) => self.drop_flow(),
@@ -433,26 +433,28 @@
                     self.read_client_items(now);
                 }
             }
-            Input::ClientEnd | Input::ClientReset => {
+            Input::ClientEof | Input::ClientReset => {
                 match self.state {
                     State::Closed => return,
                     State::Closing => {}
-                    State::AwaitingHeader => self.notify_broker(Said::Bad(Bad::HalfClosed)),
-                    _ => self.notify_broker(Said::Left),
+                    State::AwaitingHeader => {
+                        self.notify_broker(FrontEvent::ClientError(ClientError::HalfClosed))
+                    }
+                    _ => self.notify_broker(FrontEvent::Left),
                 }
                 self.close_member_stream();
                 self.close(Step::Finish);
             }
-            Input::ServerOpen if self.state == State::Negotiating => {
+            Input::MemberConnected if self.state == State::Negotiating => {
                 self.flow_connected = true;
-                self.notify_broker(Said::Connected);
+                self.notify_broker(FrontEvent::Connected);
             }
-            Input::ServerRefused => self.handle_flow_end(Outcome::Unreachable),
-            Input::Server(bytes) => {
+            Input::MemberConnectFailed => self.handle_flow_end(Outcome::Unreachable),
+            Input::Member(bytes) => {
                 self.member_parser.feed(bytes);
                 self.read_member_items(now);
             }
-            Input::ServerEnd | Input::ServerReset => {
+            Input::MemberEof | Input::MemberReset => {
                 self.flow_connected = false;
                 self.handle_flow_end(Outcome::Reset);
             }
@@ -461,14 +463,14 @@
                 self.due = None;
                 match self.state {
                     State::AwaitingHeader => {
-                        self.fail_client(Bad::Silent, "connection-timeout", "silent client")
+                        self.fail_client(ClientError::Silent, "connection-timeout", "silent client")
                     }
                     State::Closing => self.close(Step::Finish),
                     _ => {}
                 }
             }
-            Input::ServerWritten if self.state == State::Negotiating => self.notify_broker(Said::Sent),
-            Input::ServerOpen | Input::ServerWritten | Input::Tick => {}
+            Input::MemberWritten if self.state == State::Negotiating => self.notify_broker(FrontEvent::Sent),
+            Input::MemberConnected | Input::MemberWritten | Input::Tick => {}
         }
     }
 
@@ -484,15 +486,15 @@
         &mut self.to_client
     }
 
-    fn to_server(&mut self) -> &mut Vec<u8> {
-        &mut self.to_server
+    fn to_member(&mut self) -> &mut Vec<u8> {
+        &mut self.to_member
     }
 
     fn reads_client(&self) -> bool {
-        self.to_server.len() < BUFFER
+        self.to_member.len() < MAX_BUFFERED_BYTES
     }
 
-    fn reads_server(&self) -> bool {
-        self.to_client.len() < BUFFER
+    fn reads_member(&self) -> bool {
+        self.to_client.len() < MAX_BUFFERED_BYTES
     }
 }
