--- a/src/platform/relay.rs
+++ b/src/platform/relay.rs
@@ -5,8 +5,8 @@
 use crate::api::Millis;
 use std::collections::VecDeque;
 
-/// Bytes of a member's line that are kept to parse it. Protocol lines are shorter; the rest of a longer line
-/// is only searched for its end.
+/// Bytes of a member's line that are kept to identify it. The rest of a longer line is only searched for its
+/// end.
 const MAX_PARSED_BYTES: usize = 64;
 /// Client lines whose replies are timed at once.
 const MAX_TIMED_LINES: usize = 8;
@@ -23,6 +23,7 @@
     Load(f64),
 }
 
+/// The lines that have passed on an established connection.
 #[derive(Default)]
 pub(super) struct Relay {
     /// The start of the member's current line.
