--- a/src/platform/parse.rs
+++ b/src/platform/parse.rs
@@ -16,9 +16,9 @@
 
 /// `OPEN ID KEY NAME=VALUE,...`
 ///
-/// Fields that the node reads: `c` class, `t` tenant, `g` group, `d` milliseconds that the client waits for the
-/// answer, `h` load hint, `at` member that already holds the connection, `r=1` retry, and `again=1` return after
-/// a connection was moved or broke. Other fields are only forwarded.
+/// Fields that the node reads: `c` class, `t` tenant, `g` group, `d` milliseconds that the client waits for
+/// the answer, `h` load hint, `at` member that already holds the connection, `r=1` retry, and `again=1`
+/// return after a connection was moved or broke. Other fields are only forwarded.
 #[derive(Debug, PartialEq)]
 pub(super) struct OpenLine<'a> {
     pub(super) id: &'a str,
--- a/tests/xmpp.rs
+++ b/tests/xmpp.rs
@@ -374,8 +374,8 @@
     assert!(server.seen.lock().unwrap().iter().all(|seen| !seen.text().contains("<message>")));
 }
 
-/// A SIGHUP with an invalid inventory while a stream is open, twice in a row, changes nothing: the open stream
-/// is kept and new ones are accepted.
+/// A SIGHUP with an invalid inventory while a stream is open, twice in a row, changes nothing: the open
+/// stream is kept and new ones are accepted.
 #[test]
 fn reload_of_an_invalid_inventory_changes_nothing() {
     let server = Server::start(Behavior::Normal);
