--- a/src/broker/leaving.rs
+++ b/src/broker/leaving.rs
@@ -57,26 +57,26 @@
 /// Moves spread evenly over a period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MoveSchedule {
-    start: Millis,
-    end: Millis,
+    starts_at: Millis,
+    ends_at: Millis,
     peak: usize,
 }
 
 impl MoveSchedule {
-    pub(super) fn new(start: Millis, end: Millis) -> Self {
-        MoveSchedule { start, end, peak: 0 }
+    pub(super) fn new(starts_at: Millis, ends_at: Millis) -> Self {
+        MoveSchedule { starts_at, ends_at, peak: 0 }
     }
 
     /// Returns how many of the `established` clients to move now, so that none is left at the end of the
     /// period.
     pub(super) fn moves_due(&mut self, now: Millis, established: usize) -> usize {
         self.peak = self.peak.max(established);
-        let left = ((self.end - now) / (self.end - self.start)).clamp(0.0, 1.0);
+        let left = ((self.ends_at - now) / (self.ends_at - self.starts_at)).clamp(0.0, 1.0);
         established.saturating_sub((self.peak as f64 * left).floor() as usize)
     }
 
     pub(super) fn is_over(&self, now: Millis) -> bool {
-        now >= self.end
+        now >= self.ends_at
     }
 }
 
@@ -154,7 +154,7 @@
     /// Time by which all clients are moved or answered, if the node shuts down.
     pub(super) fn end_deadline(&self) -> Option<Millis> {
         match self {
-            Leaving::End(schedule) => Some(schedule.end),
+            Leaving::End(schedule) => Some(schedule.ends_at),
             _ => None,
         }
     }
