--- a/src/broker/adoption.rs
+++ b/src/broker/adoption.rs
@@ -4,11 +4,11 @@
 //! list that does not name the member yet, a full member or an unreachable one therefore means a retry here,
 //! where a new request would go to another member. The connection counts as lost only if the member was
 //! removed from the list, or is still unlisted after the time within which discovery must have announced any
-//! change (`TOLD_MS`). It is then placed like a new request. A draining member still accepts connections it
+//! change (`CHANGE_KNOWN_AFTER_MS`). It is then placed like a new request. A draining member still accepts connections it
 //! held.
 
 use super::*;
-use crate::freshness::TOLD_MS;
+use crate::freshness::CHANGE_KNOWN_AFTER_MS;
 
 /// Backoff before the first retry at a member that did not accept its connection. Each retry multiplies it by
 /// [`BACKOFF_FACTOR`].
@@ -65,10 +65,10 @@
         if adoption.was_listed {
             return HolderStatus::Gone;
         }
-        let wait_ms = TOLD_MS.min((t.deadline - t.asked_at) * UNLISTED_WAIT_FRACTION);
+        let wait_ms = CHANGE_KNOWN_AFTER_MS.min((t.deadline - t.asked_at) * UNLISTED_WAIT_FRACTION);
         // A missing entry proves nothing while the lease is expired, or if discovery has not answered since
         // the client asked: an outage of discovery renews the lease without an answer.
-        let list_current = self.lease.holds(now) && self.last_discovery_answer >= t.asked_at;
+        let list_current = self.lease.is_valid(now) && self.last_discovery_answer >= t.asked_at;
         if list_current && now - t.asked_at >= wait_ms { HolderStatus::Gone } else { HolderStatus::Awaited }
     }
 
@@ -88,8 +88,11 @@
             HolderStatus::Awaited => {
                 if self.awaiting_list.insert(id) {
                     self.counters.adoptions_awaited += 1;
-                    self.log(LogLine::AwaitsList(id));
-                    self.timers.set(now + TOLD_MS.min(left * UNLISTED_WAIT_FRACTION), Due::RetryAdoption(id));
+                    self.log(LogLine::AdoptionAwaitsList(id));
+                    self.timers.set(
+                        now + CHANGE_KNOWN_AFTER_MS.min(left * UNLISTED_WAIT_FRACTION),
+                        Due::RetryAdoption(id),
+                    );
                 }
             }
             HolderStatus::Gone => self.place_as_new(now, id),
@@ -129,7 +132,7 @@
         t.uncounted_flows = t.flows - t.attempts;
         t.request.grace_ms = (t.deadline - now).max(0.0);
         let request = t.request;
-        self.log(LogLine::PlacedAnew(id));
+        self.log(LogLine::AdoptedMemberGone(id));
         self.feed(now, Event::Request(request));
     }
 
--- a/src/broker/adoption/tests.rs
+++ b/src/broker/adoption/tests.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 fn standing(harness: &mut Harness, holder: &str, grace_ms: Millis) -> TransactionId {
-    harness.open(Ask { adopted: Some(holder.into()), grace_ms, ..ask() })
+    harness.open(ClientRequest { adopted: Some(holder.into()), grace_ms, ..ask() })
 }
 
 fn up(harness: &mut Harness, id: TransactionId) {
-    harness.hear(id, Said::Connected);
-    harness.hear(id, Said::Sent);
-    harness.hear(id, Said::Up);
+    harness.on_front_event(id, FrontEvent::Connected);
+    harness.on_front_event(id, FrontEvent::Sent);
+    harness.on_front_event(id, FrontEvent::Up);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let id = standing(&mut harness, "b", 40_000.0);
     for at in 1..20 {
         harness.run(f64::from(at) * 1_000.0);
-        harness.hear(id, Said::Ended(Outcome::Unreachable, None));
+        harness.on_front_event(id, FrontEvent::Ended(Outcome::Unreachable, None));
     }
     harness.run(22_500.0);
     assert!(opened(&harness.commands(id)).len() > 6);
@@ -97,9 +97,9 @@
         harness.run(f64::from(at) * 100.0);
         if opened(&harness.commands(id)).len() > asked.len() {
             asked.push(harness.now);
-            harness.hear(id, Said::Connected);
-            harness.hear(id, Said::Sent);
-            harness.hear(id, Said::Ended(Outcome::Full, None));
+            harness.on_front_event(id, FrontEvent::Connected);
+            harness.on_front_event(id, FrontEvent::Sent);
+            harness.on_front_event(id, FrontEvent::Ended(Outcome::Full, None));
         }
     }
     assert_eq!((asked.len(), harness.answers(id)), (6, 1));
@@ -121,7 +121,7 @@
 #[test]
 fn an_outage_of_discovery_decides_nothing_about_a_member_that_was_not_known() {
     let mut harness = Harness::new(&["a"]);
-    harness.broker.lists_are_leased(750.0);
+    harness.broker.enable_list_lease(750.0);
     let id = standing(&mut harness, "z", 40_000.0);
     for second in 1..15 {
         harness.run(1_000.0 * f64::from(second));
--- a/src/broker/counters.rs
+++ b/src/broker/counters.rs
@@ -1,6 +1,6 @@
 //! Counters of requests, server-side flows, probes and discovery calls.
 
-use super::Bad;
+use super::ClientError;
 use crate::api::{ClassId, Outcome};
 use std::fmt;
 
@@ -43,7 +43,7 @@
 
 /// Snapshot of the node's counts and gauges for its metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Counts by class, indexed by [`ClassId`].
     pub classes: Vec<ClassCounts>,
     /// Open transactions: those that wait for an answer, and established connections.
@@ -166,13 +166,13 @@
     held,
 }
 
-pub(super) fn count_client_error(counters: &mut Counters, bad: Bad) {
+pub(super) fn count_client_error(counters: &mut Counters, bad: ClientError) {
     let counter = match bad {
-        Bad::Malformed => &mut counters.bad_malformed,
-        Bad::TooLong => &mut counters.bad_too_long,
-        Bad::Unknown => &mut counters.bad_unknown,
-        Bad::HalfClosed => &mut counters.bad_half_closed,
-        Bad::Silent => &mut counters.bad_silent,
+        ClientError::Malformed => &mut counters.bad_malformed,
+        ClientError::TooLong => &mut counters.bad_too_long,
+        ClientError::Unknown => &mut counters.bad_unknown,
+        ClientError::HalfClosed => &mut counters.bad_half_closed,
+        ClientError::Silent => &mut counters.bad_silent,
     };
     *counter += 1;
 }
--- a/src/broker/flows.rs
+++ b/src/broker/flows.rs
@@ -21,11 +21,11 @@
         let name = self.pool.name(member);
         let (attempt, outcome) = (t.flows, Outcome::NotSent);
         self.counters.permits_denied += 1;
-        self.tape.append(now, || {
+        self.recorder.append(now, || {
             let what = format!("attempt of transaction {} at {name} withheld", id.0);
             record::Fault { what }.into()
         });
-        self.log(LogLine::Withheld(id, name));
+        self.log(LogLine::AttemptDenied(id, name));
         let ended = Event::Ended { id, attempt, backend: member, outcome, closed: false, report: None };
         self.events.push_back(ended);
     }
@@ -76,7 +76,8 @@
         });
         self.timers.set(now + connect_ms, Due::ConnectTimeout(id, attempt));
         self.timers.set(now + wait_ms, Due::FlowTimeout(id, attempt));
-        self.orders.push_back(Order::Front(id, Command::Open { dial, member: name, wait_ms }));
+        self.driver_commands
+            .push_back(DriverCommand::Front(id, Command::Open { dial, member: name, wait_ms }));
     }
 
     pub(super) fn flow_ended(
@@ -88,7 +89,7 @@
     ) {
         if let Some(t) = self.transactions.get(&id).filter(|t| t.stage != Stage::Waiting) {
             let was_established = t.stage == Stage::Established;
-            // If the member had moved the client, `SentAway` would have come instead: the client closed.
+            // If the member had moved the client, `MovedByMember` would have come instead: the client closed.
             self.record_flow(
                 now,
                 id,
@@ -116,7 +117,7 @@
         if outcome != Outcome::Ok && outcome != Outcome::Cancelled {
             let (member, took_ms) = (t.member_name.clone(), now - t.attempt_started_at);
             let line = LogLine::Flow { id, member, outcome, took_ms, stood: was_established };
-            self.orders.push_back(Order::Log(line));
+            self.driver_commands.push_back(DriverCommand::Log(line));
         }
         t.stage = Stage::Waiting;
         t.may_have_run |= may_have_run(outcome);
@@ -159,7 +160,7 @@
                 self.move_client(now, id, record::Reason::Negotiation);
             } else {
                 let outcome = if written { Outcome::Cancelled } else { Outcome::NotSent };
-                self.orders.push_back(Order::Front(id, Command::Abandon));
+                self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
                 self.flow_ended(now, id, outcome, None);
             }
         }
@@ -190,7 +191,7 @@
     }
 
     pub(super) fn abort_flow(&mut self, now: Millis, id: TransactionId, outcome: Outcome) {
-        self.orders.push_back(Order::Front(id, Command::Abandon));
+        self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
         self.flow_ended(now, id, outcome, None);
     }
 }
--- a/src/broker/words.rs
+++ b/src/broker/messages.rs
@@ -8,7 +8,7 @@
 
 /// A client's request for a transaction.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Name chosen by the client, if the protocol has one. It must be unique among the open transactions.
     pub name: Option<Box<str>>,
     /// Class of the request.
@@ -26,7 +26,7 @@
     /// Name of the member that already holds the connection.
     pub adopted: Option<String>,
     /// Whether the client has been here before, as far as it says.
-    pub coming: Coming,
+    pub coming: ArrivalKind,
     /// Whether the setup takes several exchanges with the member. Such a negotiation ends when the member
     /// drains.
     pub negotiates: bool,
@@ -34,7 +34,7 @@
 
 /// Whether a client has been here before, as far as the protocol lets it say so.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Coming {
+pub enum ArrivalKind {
     /// The client comes for the first time, or does not say.
     #[default]
     First,
@@ -46,9 +46,9 @@
 
 /// An event that a front reports for a transaction.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum FrontEvent {
     /// The client sent its request.
-    Ask(Ask),
+    ClientRequest(ClientRequest),
     /// A readiness check arrived; it waits for [`Command::Ready`] or [`Command::Unready`].
     Ping,
     /// The flow is connected to its member.
@@ -62,7 +62,7 @@
     /// The flow ended with this outcome, and with the member's load report if it sent one.
     Ended(Outcome, Option<Report>),
     /// The member told the client to come again, and has closed the connection.
-    SentAway,
+    MovedByMember,
     /// The client has left.
     Left,
     /// The member answered a relayed line after this many milliseconds.
@@ -70,12 +70,12 @@
     /// The connection's load, in microseconds of work per second.
     Load(f64),
     /// The client sent invalid input, or none in time. The front has answered it.
-    Bad(Bad),
+    ClientError(ClientError),
 }
 
 /// Errors in what a client sent, or failed to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum ClientError {
     /// The input can't be parsed, or has invalid content.
     Malformed,
     /// The input exceeds the size limit.
@@ -131,7 +131,7 @@
 
 /// An order of the broker to its driver.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum DriverCommand {
     /// Pass a command to the transaction's front.
     Front(TransactionId, Command),
     /// Probe a member, and report the result with [`super::Broker::probed`].
@@ -168,20 +168,20 @@
         listed: usize,
     },
     /// An adoption waits for a list that names its member.
-    AwaitsList(TransactionId),
+    AdoptionAwaitsList(TransactionId),
     /// The member that held a connection from before the process start is gone; it is placed like a new
     /// request.
-    PlacedAnew(TransactionId),
+    AdoptedMemberGone(TransactionId),
     /// An attempt waits for an answer of discovery, because the lease on the list has expired.
     Parked(TransactionId),
     /// The decision module asked for an attempt that is not permitted at this member.
-    Withheld(TransactionId, String),
+    AttemptDenied(TransactionId, String),
     /// A client used the name of another open transaction.
     Duplicate(TransactionId, Box<str>),
     /// A pool member changed to this phase.
     Member(String, Phase),
     /// Messages at a member became slow, are still slow, or are fast again.
-    Slow(String, Millis),
+    SlowMessages(String, Millis),
     /// A list or a patch from discovery was applied.
     List {
         /// Version of the list.
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,8 +1,8 @@
 //! The core of a node: transactions, their server-side flows, the pool and every deadline.
 //!
 //! The broker does no I/O, parses no protocol and reads no clock. A front reports what a client or a pool
-//! member did ([`Said`]). The broker feeds the decision module the same events as the simulator and turns the
-//! module's actions into [`Order`]s for the driver. It enforces the rules that hold for all fronts: exactly
+//! member did ([`FrontEvent`]). The broker feeds the decision module the same events as the simulator and turns the
+//! module's actions into [`DriverCommand`]s for the driver. It enforces the rules that hold for all fronts: exactly
 //! one final answer per transaction and in time, at most one flow at a time, and nothing new to a member that
 //! drains or is gone.
 
@@ -11,18 +11,18 @@
 mod delay;
 mod flows;
 mod leaving;
+mod messages;
 mod moves;
 mod permit;
 mod pool;
 mod probing;
+mod recorder;
 mod requests;
-mod tape;
 mod timers;
-mod words;
 
-pub use counters::{ClassCounts, Counters, Figures};
-pub use tape::{Taken, site as recorded_site};
-pub use words::*;
+pub use counters::{ClassCounts, Counters, Stats};
+pub use messages::*;
+pub use recorder::{RecordBatch, site as site_header};
 
 use crate::api::*;
 use crate::config::Site;
@@ -34,11 +34,11 @@
 use hopmoor_record as record;
 pub use leaving::Unready;
 use leaving::{Leaving, MoveSchedule, ShutdownTimes};
+pub use pool::ListError;
 use pool::Pool;
-pub use pool::Unfit;
 use probing::Probing;
+use recorder::Recorder;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tape::Tape;
 use timers::Timers;
 
 /// Upper bound of attempts per transaction, whatever the settings say.
@@ -134,20 +134,20 @@
     superseded: bool,
     /// The next `LeaveStep` timer is set.
     step_scheduled: bool,
-    orders: VecDeque<Order>,
+    driver_commands: VecDeque<DriverCommand>,
     counters: Counters,
     classes: ClassCounters,
-    tape: Tape,
+    recorder: Recorder,
 }
 
 impl Broker {
     /// Creates a broker that starts with the last known list of members.
     pub fn new(now: Millis, site: &Site, seed: u64, known: PoolList) -> Self {
         let settings = site.settings.clone();
-        let delays = MessageDelays::new(settings.tells_delay, settings.shortest_message_aim());
+        let delays = MessageDelays::new(settings.reports_message_delay, settings.shortest_message_aim());
         let mut broker = Broker {
             connect_ms: settings.connect_timeout_ms,
-            max_flows: settings.most_tries.clamp(1, MAX_FLOWS),
+            max_flows: settings.max_attempts.clamp(1, MAX_FLOWS),
             delays,
             probing: Probing::new(now, &settings, seed),
             balancer: crate::Balancer::new(settings, seed),
@@ -169,10 +169,10 @@
             shutdown_times: ShutdownTimes::new(site.longest_deadline_ms),
             superseded: false,
             step_scheduled: false,
-            orders: VecDeque::new(),
+            driver_commands: VecDeque::new(),
             counters: Counters::default(),
             classes: ClassCounters::new(site.classes.len()),
-            tape: Tape::default(),
+            recorder: Recorder::default(),
         };
         broker.apply_list(now, known, ListScope::Stale);
         if broker.delays.is_enabled() && site.settings.probing {
@@ -183,39 +183,39 @@
 
     /// Subjects the list to a lease, for pools that come from discovery: no new request is sent once the list
     /// may be outdated. See `src/freshness.rs`.
-    pub fn lists_are_leased(&mut self, stop_sending_ms: Millis) {
+    pub fn enable_list_lease(&mut self, stop_sending_ms: Millis) {
         self.lease = Lease::none(stop_sending_ms);
     }
 
     /// Whether the lease on the current list is valid.
     pub fn list_holds(&self, now: Millis) -> bool {
-        self.lease.holds(now)
+        self.lease.is_valid(now)
     }
 
     /// Handles an answer of discovery that nothing changed. `as_of` is the time at which this was so, which
     /// for a slow answer is earlier than its arrival.
     pub fn list_confirmed(&mut self, now: Millis, as_of: Millis) {
-        self.lease.answered(as_of);
+        self.lease.renew(as_of);
         self.last_discovery_answer = self.last_discovery_answer.max(as_of);
         self.unpark(now);
         self.retry_awaiting_adoptions(now);
     }
 
     /// Handles an answer of discovery that began at `began` and can't be parsed, or has stalled.
-    pub fn answer_spoilt(&mut self, began: Millis) {
+    pub fn discovery_answer_invalid(&mut self, began: Millis) {
         self.counters.answers_spoilt += 1;
-        self.lease.spoilt(began);
+        self.lease.answer_invalid(began);
     }
 
     /// Counts a failed call to discovery that is retried at once.
-    pub fn discovery_called_again(&mut self) {
+    pub fn discovery_call_retried(&mut self) {
         self.counters.discovery_failures += 1;
     }
 
     /// Updates the lease after a failed call to discovery.
     pub fn call_failed(&mut self, now: Millis, failure: CallFailure) {
         self.lease.call_failed(now, failure);
-        if self.lease.holds(now) {
+        if self.lease.is_valid(now) {
             self.unpark(now);
         }
     }
@@ -235,7 +235,7 @@
     }
 
     /// Returns a snapshot of the node's counts and gauges for its metrics.
-    pub fn figures(&self, now: Millis) -> Figures {
+    pub fn stats(&self, now: Millis) -> Stats {
         let avoided: BTreeSet<_> = self
             .balancer
             .member_views(now)
@@ -243,7 +243,7 @@
             .map(|view| view.member)
             .collect();
         let excluded = |id: &BackendId| !self.pool.serving(*id) || avoided.contains(id);
-        Figures {
+        Stats {
             classes: self.classes.all().to_vec(),
             in_flight: self.transactions.len(),
             hosts_known: self.pool.members().count(),
@@ -252,7 +252,7 @@
     }
 
     /// Counts clients without a first line that were closed to free descriptors for others.
-    pub fn crowded_out(&mut self, clients: u64) {
+    pub fn clients_evicted(&mut self, clients: u64) {
         self.counters.bad_crowded_out += clients;
     }
 
@@ -274,8 +274,8 @@
     }
 
     /// Takes the next order for the driver, first in, first out.
-    pub fn order(&mut self) -> Option<Order> {
-        self.orders.pop_front()
+    pub fn driver_command(&mut self) -> Option<DriverCommand> {
+        self.driver_commands.pop_front()
     }
 
     /// Time at which [`Broker::tick`] is due.
@@ -301,16 +301,16 @@
     /// Marks the node ready, when the first list is known, and answers the readiness checks that wait for it.
     pub fn set_ready(&mut self) {
         if !std::mem::replace(&mut self.ready, true) {
-            self.orders.push_back(Order::Opened);
+            self.driver_commands.push_back(DriverCommand::Opened);
         }
         for id in std::mem::take(&mut self.readiness_checks) {
-            self.orders.push_back(Order::Front(id, Command::Ready));
+            self.driver_commands.push_back(DriverCommand::Front(id, Command::Ready));
         }
     }
 
     /// Whether the node would serve a new client now: a list is in use, and the node neither drains nor shuts
     /// down.
-    pub fn standing_by(&self) -> Result<(), Unready> {
+    pub fn readiness(&self) -> Result<(), Unready> {
         match self.leaving {
             Leaving::No if self.superseded => Err(Unready::Superseded),
             Leaving::No if !self.ready => Err(Unready::NoList),
@@ -333,7 +333,7 @@
     ///
     /// # Errors
     /// If the list is rejected; the current one stays in use.
-    pub fn listed(&mut self, now: Millis, list: PoolList, as_of: Millis) -> Result<(), Unfit> {
+    pub fn listed(&mut self, now: Millis, list: PoolList, as_of: Millis) -> Result<(), ListError> {
         self.pool.check(&list)?;
         self.counters.lists += 1;
         self.log(LogLine::List { seq: list.seq, whole: list.whole });
@@ -365,23 +365,23 @@
 
     /// Counts and records a reload of the configuration or the inventory, accepted or rejected.
     pub fn reloaded(&mut self, now: Millis, taken: bool) {
-        self.tape.append(now, || record::Reloaded { taken }.into());
+        self.recorder.append(now, || record::Reloaded { taken }.into());
         let counter = if taken { &mut self.counters.reloads } else { &mut self.counters.reloads_refused };
         *counter += 1;
     }
 
     /// Watches another discovery service from now on, also if none was watched so far.
-    pub fn rewatch(&mut self, now: Millis) {
-        self.lease.moved(now);
+    pub fn discovery_replaced(&mut self, now: Millis) {
+        self.lease.discovery_changed(now);
         self.pool.reset_numbering();
         self.watching = true;
-        self.orders.push_back(Order::Watch(true));
+        self.driver_commands.push_back(DriverCommand::Watch(true));
     }
 
     /// Handles a failed call to discovery, or a broken watch.
     pub fn discovery_failed(&mut self, now: Millis) {
         self.counters.discovery_failures += 1;
-        self.tape.append(now, || record::Blind {}.into());
+        self.recorder.append(now, || record::Blind {}.into());
         self.watching = false;
         self.feed(now, Event::DiscoveryFailed);
     }
@@ -389,29 +389,31 @@
     /// Sets the number of nodes that share the pool, this one included, as its view of the fleet shows.
     pub fn sharing(&mut self, now: Millis, nodes: u32) {
         self.probing.sharing(nodes);
-        self.feed(now, Event::Sharing(nodes));
+        self.feed(now, Event::NodeCount(nodes));
     }
 
     // ---- Input from fronts ----
 
     /// Handles what a front reports of a transaction.
-    pub fn hear(&mut self, now: Millis, id: TransactionId, said: Said) {
+    pub fn on_front_event(&mut self, now: Millis, id: TransactionId, said: FrontEvent) {
         match said {
-            Said::Ask(ask) => self.on_ask(now, id, ask),
-            Said::Ping if self.superseded || !self.leaving.takes_clients() => {
-                self.orders.push_back(Order::Front(id, Command::Unready))
+            FrontEvent::ClientRequest(ask) => self.on_ask(now, id, ask),
+            FrontEvent::Ping if self.superseded || !self.leaving.takes_clients() => {
+                self.driver_commands.push_back(DriverCommand::Front(id, Command::Unready))
             }
-            Said::Ping if self.ready => self.orders.push_back(Order::Front(id, Command::Ready)),
-            Said::Ping => self.readiness_checks.push(id),
-            Said::Bad(bad) => count_client_error(&mut self.counters, bad),
-            Said::Connected => {
+            FrontEvent::Ping if self.ready => {
+                self.driver_commands.push_back(DriverCommand::Front(id, Command::Ready))
+            }
+            FrontEvent::Ping => self.readiness_checks.push(id),
+            FrontEvent::ClientError(bad) => count_client_error(&mut self.counters, bad),
+            FrontEvent::Connected => {
                 if let Some(t) = self.transactions.get_mut(&id)
                     && matches!(t.stage, Stage::Attempting { .. })
                 {
                     t.stage = Stage::Attempting { connected: true };
                 }
             }
-            Said::Sent => {
+            FrontEvent::Sent => {
                 if let Some(t) = self.transactions.get_mut(&id)
                     && matches!(t.stage, Stage::Attempting { .. })
                     && !std::mem::replace(&mut t.written, true)
@@ -420,22 +422,22 @@
                     self.classes.of(t.request.class).attempts += 1;
                 }
             }
-            Said::Committed => {
+            FrontEvent::Committed => {
                 if let Some(t) = self.transactions.get_mut(&id) {
                     t.committed = true;
                 }
             }
-            Said::Up => self.on_established(now, id),
-            Said::Ended(outcome, report) => self.flow_ended(now, id, outcome, report),
-            Said::SentAway => self.on_moved_by_member(now, id),
-            Said::Left => self.on_client_left(now, id),
-            Said::Message(took_ms) => {
+            FrontEvent::Up => self.on_established(now, id),
+            FrontEvent::Ended(outcome, report) => self.flow_ended(now, id, outcome, report),
+            FrontEvent::MovedByMember => self.on_moved_by_member(now, id),
+            FrontEvent::Left => self.on_client_left(now, id),
+            FrontEvent::Message(took_ms) => {
                 let up = self.transactions.get(&id).filter(|t| t.stage == Stage::Established);
                 let Some(member) = up.and_then(|t| t.member) else { return };
                 let told = self.delays.measured(now, member, took_ms);
                 self.notify_delay(now, member, told);
             }
-            Said::Load(load) => self.feed(now, Event::LoadChanged { id, load }),
+            FrontEvent::Load(load) => self.feed(now, Event::LoadChanged { id, load }),
         }
     }
 
@@ -464,7 +466,7 @@
             Action::CancelAttempt { id, .. } => {
                 if matches!(self.transactions.get(&id), Some(t) if matches!(t.stage, Stage::Attempting { .. }))
                 {
-                    self.orders.push_back(Order::Front(id, Command::Abandon));
+                    self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
                     self.flow_ended(now, id, Outcome::Cancelled, None);
                 }
             }
@@ -478,16 +480,16 @@
             Action::Probe { backend } => self.probe_for_module(backend),
             Action::Subscribe { on } => {
                 if on != std::mem::replace(&mut self.watching, on) {
-                    self.orders.push_back(Order::Watch(on));
+                    self.driver_commands.push_back(DriverCommand::Watch(on));
                 }
             }
-            Action::FetchList => self.orders.push_back(Order::Fetch),
+            Action::FetchList => self.driver_commands.push_back(DriverCommand::Fetch),
             // Flows are never reused and nodes do not talk to each other here: no idle flow to close, no peer
             // to tell.
-            Action::CloseIdle { .. } | Action::Tell { .. } => {}
+            Action::CloseIdle { .. } | Action::SendToPeer { .. } => {}
             Action::Log(what) => self.log(LogLine::Module(what)),
             Action::Fault(what) => {
-                self.tape.append(now, || record::Fault { what: what.chars().take(200).collect() }.into());
+                self.recorder.append(now, || record::Fault { what: what.chars().take(200).collect() }.into());
                 self.log(LogLine::Fault(what))
             }
             Action::SetTimer { at, id } => self.timers.set(at, Due::Module(id)),
@@ -495,7 +497,7 @@
     }
 
     fn log(&mut self, line: LogLine) {
-        self.orders.push_back(Order::Log(line));
+        self.driver_commands.push_back(DriverCommand::Log(line));
     }
 
     // ---- Timers ----
--- a/src/broker/moves.rs
+++ b/src/broker/moves.rs
@@ -1,8 +1,8 @@
 //! Moves clients away: because the node leaves, or because their member does.
 
 use super::leaving::{MOVE_STEP_MS, MoveSchedule};
-use super::tape::member_id;
-use super::{Broker, Command, Due, LogLine, Order, Stage, Transaction, TransactionId};
+use super::recorder::member_id;
+use super::{Broker, Command, DriverCommand, Due, LogLine, Stage, Transaction, TransactionId};
 use crate::api::*;
 use hopmoor_record::{self as record, Reason};
 
@@ -35,11 +35,11 @@
         let Some(backend) = t.member else { return };
         self.counters.moved += 1;
         let stood_ms = (t.stage == Stage::Established).then_some((now - t.attempt_started_at) as f32);
-        self.tape.append(now, || {
+        self.recorder.append(now, || {
             record::Moved { transaction: id.0, member: member_id(backend), reason, stood_ms }.into()
         });
         self.log(LogLine::Moved(id, t.member_name.clone(), reason));
-        self.orders.push_back(Order::Front(id, Command::Move));
+        self.driver_commands.push_back(DriverCommand::Front(id, Command::Move));
         let (attempt, outcome) = (t.flows.saturating_sub(1), Outcome::Cancelled);
         self.feed(now, Event::Ended { id, attempt, backend, outcome, closed: true, report: None });
     }
@@ -50,7 +50,8 @@
         let (member, stood_ms) = (t.member, Some((now - t.attempt_started_at) as f32));
         if let Some(member) = member {
             let (member, reason) = (member_id(member), Reason::Member);
-            self.tape.append(now, || record::Moved { transaction: id.0, member, reason, stood_ms }.into());
+            self.recorder
+                .append(now, || record::Moved { transaction: id.0, member, reason, stood_ms }.into());
         }
         self.finish_flow(now, id, Outcome::Cancelled, None);
     }
@@ -61,7 +62,7 @@
         if self.leaving.drain(now) {
             self.schedule_leave_step(now);
             for id in std::mem::take(&mut self.readiness_checks) {
-                self.orders.push_back(Order::Front(id, Command::Unready));
+                self.driver_commands.push_back(DriverCommand::Front(id, Command::Unready));
             }
         }
         !self.leaving.is_ending()
@@ -77,7 +78,7 @@
     pub fn leave(&mut self, now: Millis) -> Millis {
         if self.leaving.end(now, self.shutdown_times) {
             let transactions = self.transactions.len() as u32;
-            self.tape.append(now, || record::Leaving { transactions }.into());
+            self.recorder.append(now, || record::Leaving { transactions }.into());
             self.schedule_leave_step(now);
             self.cap_deadlines(now, now + self.shutdown_times.done_by);
         }
@@ -94,7 +95,7 @@
                 self.timers.set(by + MOVE_STEP_MS, Due::AnswerOverdue(*id));
             }
         }
-        self.feed(now, Event::Ending { by });
+        self.feed(now, Event::ShuttingDown { by });
     }
 
     fn schedule_leave_step(&mut self, now: Millis) {
--- a/src/broker/permit.rs
+++ b/src/broker/permit.rs
@@ -49,7 +49,7 @@
         if !self.pool.serving(member) {
             return Err(Denied::MemberNotServing);
         }
-        if !self.lease.holds(now) {
+        if !self.lease.is_valid(now) {
             return Err(Denied::LeaseExpired);
         }
         Ok(permit)
--- a/src/broker/pool.rs
+++ b/src/broker/pool.rs
@@ -10,7 +10,7 @@
 
 /// Why a list is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum ListError {
     /// It names no member, while some are known.
     Empty,
     /// It is older than the current list.
@@ -22,16 +22,16 @@
     },
 }
 
-impl std::fmt::Display for Unfit {
+impl std::fmt::Display for ListError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unfit::Empty => f.write_str("the list names nobody"),
-            Unfit::Older { seq, at_hand } => write!(f, "version {seq} is older than {at_hand}"),
+            ListError::Empty => f.write_str("the list names nobody"),
+            ListError::Older { seq, at_hand } => write!(f, "version {seq} is older than {at_hand}"),
         }
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for ListError {}
 
 #[derive(Default)]
 pub(super) struct Pool {
@@ -45,14 +45,14 @@
 impl Pool {
     /// Checks whether a list or patch may be applied. An empty or older one is rejected: an outdated replica
     /// of discovery would bring back members that drain.
-    pub(super) fn check(&mut self, list: &PoolList) -> Result<(), Unfit> {
+    pub(super) fn check(&mut self, list: &PoolList) -> Result<(), ListError> {
         if list.whole && list.members.is_empty() && !self.members.is_empty() {
-            return Err(Unfit::Empty);
+            return Err(ListError::Empty);
         }
         if list.seq < self.seq && !self.numbering_changed {
             self.older_in_a_row += 1;
             if !list.whole || self.older_in_a_row < OLDER_LISTS_UNTIL_ACCEPTED {
-                return Err(Unfit::Older { seq: list.seq, at_hand: self.seq });
+                return Err(ListError::Older { seq: list.seq, at_hand: self.seq });
             }
         }
         (self.older_in_a_row, self.numbering_changed) = (0, false);
--- a/src/broker/probing.rs
+++ b/src/broker/probing.rs
@@ -36,7 +36,7 @@
 
 impl Probing {
     pub(super) fn new(now: Millis, settings: &Settings, seed: u64) -> Self {
-        let quota = settings.quota_part();
+        let quota = settings.quota_per_node();
         let stated = (quota / CONNECTIONS_PER_PROBE).ceil() as usize;
         Probing {
             sampling_until: now + STARTUP_SAMPLING_MS,
@@ -90,7 +90,7 @@
         let Some(dial) = self.pool.dial(member) else { return false };
         self.counters.probes += 1;
         self.probing.in_flight.insert(member, false);
-        self.orders.push_back(Order::Probe { member, dial });
+        self.driver_commands.push_back(DriverCommand::Probe { member, dial });
         true
     }
 
@@ -119,7 +119,7 @@
 
     /// Handles a probe that was cancelled, or whose idle connection was closed, to free descriptors for
     /// clients.
-    pub fn probe_gave_way(&mut self, now: Millis, member: BackendId) {
+    pub fn probe_evicted(&mut self, now: Millis, member: BackendId) {
         self.counters.probes_gave_way += 1;
         if self.probing.in_flight.contains_key(&member) {
             self.probed(now, member, Outcome::NotSent, None, None);
@@ -138,9 +138,9 @@
         self.counters.probes_answered += u64::from(outcome == Outcome::Ok);
         let load = report.and_then(|report| report.load_over_capacity);
         self.log(LogLine::Probed(self.pool.name(member), outcome, load, message_ms));
-        self.tape.append(now, || {
+        self.recorder.append(now, || {
             let (load, message_ms) = (load.map(|load| load as f32), message_ms.map(|ms| ms as f32));
-            record::Probed { member: tape::member_id(member), outcome: outcome.into(), load, message_ms }
+            record::Probed { member: recorder::member_id(member), outcome: outcome.into(), load, message_ms }
                 .into()
         });
         // The module is told of all probes that it asked for, as in the simulator, and of every report from
@@ -157,9 +157,9 @@
     /// Tells the decision module of a message delay, if there is one to tell.
     pub(super) fn notify_delay(&mut self, now: Millis, member: BackendId, told: Option<Millis>) {
         let Some(took_ms) = told else { return };
-        self.log(LogLine::Slow(self.pool.name(member), took_ms));
-        let delay = record::Delay { member: tape::member_id(member), took_ms: took_ms as f32 };
-        self.tape.append(now, || delay.into());
+        self.log(LogLine::SlowMessages(self.pool.name(member), took_ms));
+        let delay = record::Delay { member: recorder::member_id(member), took_ms: took_ms as f32 };
+        self.recorder.append(now, || delay.into());
         self.feed(now, Event::MessageDelay { backend: member, took_ms });
     }
 }
--- a/src/broker/tape.rs
+++ b/src/broker/recorder.rs
@@ -18,7 +18,7 @@
 const MIN_VIEW_CHANGE: f64 = 0.05;
 
 #[derive(Default)]
-pub(super) struct Tape {
+pub(super) struct Recorder {
     on: bool,
     records: Vec<Record>,
     missed: u64,
@@ -30,14 +30,14 @@
 
 /// Records taken from the buffer.
 #[derive(Debug, Default)]
-pub struct Taken {
+pub struct RecordBatch {
     /// The records, in order of time.
     pub records: Vec<Record>,
     /// Number of records dropped before these because the buffer was full, and the time of the first drop.
     pub missed: Option<(u64, Millis)>,
 }
 
-impl Tape {
+impl Recorder {
     pub(super) fn is_on(&self) -> bool {
         self.on
     }
@@ -64,27 +64,33 @@
 impl Broker {
     /// Starts recording. The first records are the known pool.
     pub fn record(&mut self, now: Millis) {
-        self.tape.on = true;
+        self.recorder.on = true;
         let members = self.pool.members().count() as u32;
-        self.tape.append(now, || record::Started { members }.into());
+        self.recorder.append(now, || record::Started { members }.into());
         for (id, member) in self.pool.members() {
-            self.tape.append(now, || member_record(id, member, member.phase).into());
+            self.recorder.append(now, || member_record(id, member, member.phase).into());
         }
         self.timers.set(now + VIEW_INTERVAL_MS, Due::RecordViews);
     }
 
     /// Takes the buffered records; `buffer` collects the next ones.
-    pub fn taken(&mut self, buffer: Vec<Record>) -> Taken {
-        let missed = std::mem::take(&mut self.tape.missed);
-        Taken {
-            records: std::mem::replace(&mut self.tape.records, buffer),
-            missed: (missed > 0).then_some((missed, self.tape.missed_since)),
+    pub fn take_records(&mut self, buffer: Vec<Record>) -> RecordBatch {
+        let missed = std::mem::take(&mut self.recorder.missed);
+        RecordBatch {
+            records: std::mem::replace(&mut self.recorder.records, buffer),
+            missed: (missed > 0).then_some((missed, self.recorder.missed_since)),
         }
     }
 
     /// Records that another node of the fleet joined, left or came back.
-    pub fn neighbour(&mut self, now: Millis, name: &str, state: record::NeighbourState, incarnation: u64) {
-        self.tape.append(now, || record::Neighbour { name: name.to_owned(), state, incarnation }.into());
+    pub fn peer_state_changed(
+        &mut self,
+        now: Millis,
+        name: &str,
+        state: record::NeighbourState,
+        incarnation: u64,
+    ) {
+        self.recorder.append(now, || record::Neighbour { name: name.to_owned(), state, incarnation }.into());
     }
 
     /// Sets the total number of records lost so far.
@@ -94,50 +100,51 @@
 
     /// Whether any records are buffered.
     pub fn has_records(&self) -> bool {
-        !self.tape.records.is_empty()
+        !self.recorder.records.is_empty()
     }
 
     /// Records the end of the node, the last record of its run.
-    pub fn stopped(&mut self, now: Millis) {
+    pub fn record_stopped(&mut self, now: Millis) {
         let left_behind = self.transactions.len() as u32;
-        self.tape.append(now, || record::Stopped { left_behind }.into());
+        self.recorder.append(now, || record::Stopped { left_behind }.into());
     }
 
     /// Records the counters. `wall` is the host's clock, in Unix milliseconds.
-    pub fn counted(&mut self, now: Millis, wall: Millis) {
-        if self.tape.on {
+    pub fn record_counters(&mut self, now: Millis, wall: Millis) {
+        if self.recorder.on {
             let values = self.counters().values().to_vec();
-            self.tape.append(now, || record::Counters { wall, values }.into());
+            self.recorder.append(now, || record::Counters { wall, values }.into());
         }
     }
 
     /// Records the decision module's views that have changed since they were last recorded.
     pub(super) fn record_views(&mut self, now: Millis) {
-        let tape = &mut self.tape;
-        tape.view_rounds += 1;
+        let recorder = &mut self.recorder;
+        recorder.view_rounds += 1;
         for view in self.balancer.tenant_views() {
-            let last = tape.tenants.get(&view.tenant);
+            let last = recorder.tenants.get(&view.tenant);
             if last.is_some_and(|(at, last)| *last == view && now - at < UNCHANGED_VIEW_INTERVAL_MS) {
                 continue;
             }
-            tape.tenants.insert(view.tenant, (now, view));
-            tape.append(now, || tenant_record(view).into());
+            recorder.tenants.insert(view.tenant, (now, view));
+            recorder.append(now, || tenant_record(view).into());
         }
         // Members only in every other round: their values change slowly, and there may be thousands of them.
-        if tape.view_rounds.is_multiple_of(2) {
+        if recorder.view_rounds.is_multiple_of(2) {
             for view in self.balancer.member_views(now) {
-                let last = tape.members.get(&view.member);
+                let last = recorder.members.get(&view.member);
                 if last.is_some_and(|(at, last)| {
                     !views_differ(last, &view) && now - at < UNCHANGED_VIEW_INTERVAL_MS
                 }) {
                     continue;
                 }
-                tape.members.insert(view.member, (now, view));
+                recorder.members.insert(view.member, (now, view));
                 let message_ms = self.delays.last_reported(view.member);
-                tape.append(now, || view_record(view, message_ms).into());
+                recorder.append(now, || view_record(view, message_ms).into());
             }
             let pool = &self.pool;
-            tape.members
+            recorder
+                .members
                 .retain(|member, (at, _)| pool.listed(*member) || now - *at < UNCHANGED_VIEW_INTERVAL_MS);
         }
         self.timers.set(now + VIEW_INTERVAL_MS, Due::RecordViews);
@@ -145,19 +152,19 @@
 
     pub(super) fn record_member(&mut self, now: Millis, id: BackendId, name: &str, phase: Phase) {
         if let Some(member) = self.pool.member(id) {
-            self.tape.append(now, || member_record(id, member, phase).into());
+            self.recorder.append(now, || member_record(id, member, phase).into());
         } else {
             let name = name.to_owned();
             let (member, phase) = (member_id(id), record::Phase::from(phase));
             let event =
                 record::Member { member, name, phase, zone: 0, weight: 0.0, born: None, again: false };
-            self.tape.append(now, || event.into());
+            self.recorder.append(now, || event.into());
         }
     }
 
     /// Records the final answer of a transaction.
     pub(super) fn record_answer(&mut self, now: Millis, t: &Transaction, answer: record::Answer) {
-        self.tape.append(now, || answer_record(now, t, answer).into());
+        self.recorder.append(now, || answer_record(now, t, answer).into());
     }
 
     /// Records the end of an attempt or of an established connection.
@@ -169,12 +176,12 @@
         stood: bool,
         by_client: bool,
     ) {
-        if !self.tape.on {
+        if !self.recorder.on {
             return;
         }
         let Some(t) = self.transactions.get(&id) else { return };
         let (Some(member), took_ms) = (t.member, (now - t.attempt_started_at) as f32) else { return };
-        self.tape.append(now, || {
+        self.recorder.append(now, || {
             let (member, outcome) = (member_id(member), outcome.into());
             record::Flow { transaction: id.0, member, outcome, stood, by_client, took_ms }.into()
         });
@@ -268,12 +275,12 @@
     }
 }
 
-impl From<Coming> for record::Coming {
-    fn from(coming: Coming) -> Self {
+impl From<ArrivalKind> for record::ArrivalKind {
+    fn from(coming: ArrivalKind) -> Self {
         match coming {
-            Coming::First => record::Coming::First,
-            Coming::Retry => record::Coming::Retry,
-            Coming::Return => record::Coming::Return,
+            ArrivalKind::First => record::ArrivalKind::First,
+            ArrivalKind::Retry => record::ArrivalKind::Retry,
+            ArrivalKind::Return => record::ArrivalKind::Return,
         }
     }
 }
