--- a/src/broker/adoption.rs
+++ b/src/broker/adoption.rs
@@ -4,8 +4,8 @@
 //! list that does not name the member yet, a full member or an unreachable one therefore means a retry here,
 //! where a new request would go to another member. The connection counts as lost only if the member was
 //! removed from the list, or is still unlisted after the time within which discovery must have announced any
-//! change (`CHANGE_KNOWN_AFTER_MS`). It is then placed like a new request. A draining member still accepts connections it
-//! held.
+//! change (`CHANGE_KNOWN_AFTER_MS`). It is then placed like a new request. A draining member still accepts
+//! connections it held.
 
 use super::*;
 use crate::freshness::CHANGE_KNOWN_AFTER_MS;
@@ -17,7 +17,7 @@
 const BACKOFF_FACTOR: f64 = 2.5;
 /// Upper bound of the backoff after a failed connect, which costs the member nothing.
 const MAX_UNREACHABLE_BACKOFF_MS: Millis = 2_000.0;
-/// Connect timeout at the member. It is long because no other member can take the connection.
+/// Minimum connect timeout at the member. It is long because no other member can take the connection.
 pub(super) const ADOPTION_CONNECT_TIMEOUT_MS: Millis = 3_000.0;
 /// Fraction of the client's time that may be spent waiting for a list that names the member.
 const UNLISTED_WAIT_FRACTION: f64 = 0.5;
--- a/src/broker/leaving/tests.rs
+++ b/src/broker/leaving/tests.rs
@@ -6,7 +6,7 @@
     Drain,
     Resume,
     End,
-    ClientRequest,
+    Connect,
     Leave,
     Wait,
 }
@@ -14,7 +14,7 @@
 fn calls() -> impl Strategy<Value = Vec<Call>> {
     use Call::*;
     let one = prop_oneof![
-        1 => Just(Drain), 1 => Just(Resume), 1 => Just(End), 6 => Just(ClientRequest), 2 => Just(Leave), 20 => Just(Wait)
+        1 => Just(Drain), 1 => Just(Resume), 1 => Just(End), 6 => Just(Connect), 2 => Just(Leave), 20 => Just(Wait)
     ];
     prop::collection::vec(one, 1..400)
 }
@@ -25,7 +25,7 @@
     /// For any order of calls: no client is moved while the node stays, none is left after the allowed time
     /// of a drain or shutdown, and one in progress is not started again.
     #[test]
-    fn nobody_moves_without_need_and_nobody_is_left(calls in calls(), longest in 0.0..8_000.0) {
+    fn no_client_moves_while_the_node_stays_and_none_is_left_in_the_end(calls in calls(), longest in 0.0..8_000.0) {
         let (mut leaving, mut now, mut standing) = (Leaving::No, 0.0, 0usize);
         let shutdown_times = ShutdownTimes::new(longest);
         let mut since: Option<(Millis, Millis)> = None;
@@ -46,7 +46,7 @@
                     prop_assert_eq!(leaving.end(now, shutdown_times), anew);
                     since = if anew { Some((now, shutdown_times.done_by + MOVE_STEP_MS)) } else { since };
                 }
-                Call::ClientRequest => standing += 1,
+                Call::Connect => standing += 1,
                 Call::Leave => standing = standing.saturating_sub(1),
                 Call::Wait => now += MOVE_STEP_MS,
             }
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_drain_waits_for_the_front_and_ends_in_time() {
+fn a_drain_waits_for_the_fronts_poll_and_ends_in_time() {
     let mut leaving = Leaving::No;
     assert!(leaving.drain(1_000.0));
     assert_eq!(leaving.moves_due(1_000.0 + FRONT_POLL_GRACE_MS, 100), Some(0));
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -15,7 +15,7 @@
     pub class: ClassId,
     /// Tenant of the client.
     pub tenant: TenantId,
-    /// Group of connections that share work and should share a member.
+    /// Group of connections that share work.
     pub group: Option<AffinityKey>,
     /// Key of the subject that the request is about.
     pub key: Option<AffinityKey>,
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,10 +1,10 @@
 //! The core of a node: transactions, their server-side flows, the pool and every deadline.
 //!
 //! The broker does no I/O, parses no protocol and reads no clock. A front reports what a client or a pool
-//! member did ([`FrontEvent`]). The broker feeds the decision module the same events as the simulator and turns the
-//! module's actions into [`DriverCommand`]s for the driver. It enforces the rules that hold for all fronts: exactly
-//! one final answer per transaction and in time, at most one flow at a time, and nothing new to a member that
-//! drains or is gone.
+//! member did ([`FrontEvent`]). The broker feeds the decision module the same events as the simulator and
+//! turns the module's actions into [`DriverCommand`]s for the driver. It enforces the rules that hold for all
+//! fronts: exactly one final answer per transaction and in time, at most one flow at a time, and nothing new
+//! to a member that drains or is gone.
 
 mod adoption;
 mod counters;
@@ -78,8 +78,8 @@
     uncounted_flows: u32,
     negotiates: bool,
     committed: bool,
-    /// Whether the decision module knows of the transaction. It learns of an adoption only once that succeeded,
-    /// or is placed like a new request.
+    /// Whether the decision module knows of the transaction. It learns of an adoption only once that
+    /// succeeded, or is placed like a new request.
     known_to_module: bool,
     /// The current flow's request is written completely.
     written: bool,
@@ -397,7 +397,7 @@
     /// Handles what a front reports of a transaction.
     pub fn on_front_event(&mut self, now: Millis, id: TransactionId, said: FrontEvent) {
         match said {
-            FrontEvent::ClientRequest(ask) => self.on_ask(now, id, ask),
+            FrontEvent::ClientRequest(ask) => self.on_client_request(now, id, ask),
             FrontEvent::Ping if self.superseded || !self.leaving.takes_clients() => {
                 self.driver_commands.push_back(DriverCommand::Front(id, Command::Unready))
             }
--- a/src/broker/pool.rs
+++ b/src/broker/pool.rs
@@ -4,8 +4,8 @@
 use crate::pool::{Member, PoolList, name_hash};
 use std::collections::BTreeMap;
 
-/// After this many consecutive lists older than the current one, an older list is accepted: discovery has
-/// restarted its version numbers.
+/// Number of consecutive older lists or patches at which a complete older list is accepted, because discovery
+/// must have restarted its version numbers.
 const OLDER_LISTS_UNTIL_ACCEPTED: u32 = 3;
 
 /// Why a list is rejected.
@@ -25,7 +25,7 @@
 impl std::fmt::Display for ListError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ListError::Empty => f.write_str("the list names nobody"),
+            ListError::Empty => f.write_str("the list names no members"),
             ListError::Older { seq, at_hand } => write!(f, "version {seq} is older than {at_hand}"),
         }
     }
--- a/src/broker/pool/tests.rs
+++ b/src/broker/pool/tests.rs
@@ -13,7 +13,7 @@
     PoolList { seq, whole, members: names.iter().map(member).collect() }
 }
 
-fn take(pool: &mut Pool, list: PoolList) -> Result<(), ListError> {
+fn apply(pool: &mut Pool, list: PoolList) -> Result<(), ListError> {
     pool.check(&list)?;
     let whole = list.whole;
     pool.merge(list, whole);
@@ -21,31 +21,31 @@
 }
 
 #[test]
-fn an_empty_or_older_list_leaves_the_last_good_one() {
+fn an_empty_or_older_list_is_rejected() {
     let mut pool = Pool::default();
-    assert_eq!(take(&mut pool, list(0, true, &[])), Ok(()), "nobody is known yet");
-    take(&mut pool, list(41, true, &["a", "b"])).unwrap();
-    assert_eq!(take(&mut pool, list(42, true, &[])), Err(ListError::Empty));
+    assert_eq!(apply(&mut pool, list(0, true, &[])), Ok(()), "nobody is known yet");
+    apply(&mut pool, list(41, true, &["a", "b"])).unwrap();
+    assert_eq!(apply(&mut pool, list(42, true, &[])), Err(ListError::Empty));
     let older = |seq| Err(ListError::Older { seq, at_hand: 41 });
-    assert_eq!(take(&mut pool, list(40, true, &["a"])), older(40));
-    assert_eq!(take(&mut pool, list(40, false, &["c"])), older(40));
+    assert_eq!(apply(&mut pool, list(40, true, &["a"])), older(40));
+    assert_eq!(apply(&mut pool, list(40, false, &["c"])), older(40));
     assert_eq!((pool.members().count(), pool.seq), (2, 41));
-    take(&mut pool, list(41, false, &[])).unwrap();
-    take(&mut pool, list(43, false, &["c"])).unwrap();
+    apply(&mut pool, list(41, false, &[])).unwrap();
+    apply(&mut pool, list(43, false, &["c"])).unwrap();
     assert_eq!((pool.members().count(), pool.seq), (3, 43));
 }
 
 #[test]
-fn a_discovery_that_counts_anew_is_believed_when_it_says_so_again() {
+fn an_older_complete_list_is_accepted_after_several_in_a_row() {
     let mut pool = Pool::default();
-    take(&mut pool, list(41, true, &["a", "b"])).unwrap();
-    assert!(take(&mut pool, list(2, false, &["c"])).is_err());
-    assert!(take(&mut pool, list(2, true, &["c"])).is_err());
-    assert!(take(&mut pool, list(2, false, &["c"])).is_err(), "changes alone don't make a list");
-    take(&mut pool, list(2, true, &["c"])).unwrap();
+    apply(&mut pool, list(41, true, &["a", "b"])).unwrap();
+    assert!(apply(&mut pool, list(2, false, &["c"])).is_err());
+    assert!(apply(&mut pool, list(2, true, &["c"])).is_err());
+    assert!(apply(&mut pool, list(2, false, &["c"])).is_err(), "changes alone don't make a list");
+    apply(&mut pool, list(2, true, &["c"])).unwrap();
     assert_eq!((pool.members().count(), pool.seq), (1, 2));
     // Another discovery service is accepted at once, but only for its first list.
     pool.reset_numbering();
-    take(&mut pool, list(1, true, &["d"])).unwrap();
-    assert!(take(&mut pool, list(0, true, &["a"])).is_err());
+    apply(&mut pool, list(1, true, &["d"])).unwrap();
+    assert!(apply(&mut pool, list(0, true, &["a"])).is_err());
 }
--- a/src/broker/recorder.rs
+++ b/src/broker/recorder.rs
@@ -19,7 +19,7 @@
 
 #[derive(Default)]
 pub(super) struct Recorder {
-    on: bool,
+    recording: bool,
     records: Vec<Record>,
     missed: u64,
     missed_since: Millis,
@@ -38,12 +38,12 @@
 }
 
 impl Recorder {
-    pub(super) fn is_on(&self) -> bool {
-        self.on
+    pub(super) fn is_recording(&self) -> bool {
+        self.recording
     }
 
     pub(super) fn append(&mut self, now: Millis, event: impl FnOnce() -> RecordedEvent) {
-        if !self.on {
+        if !self.recording {
             return;
         }
         if self.records.len() < MAX_BUFFERED_RECORDS {
@@ -64,7 +64,7 @@
 impl Broker {
     /// Starts recording. The first records are the known pool.
     pub fn record(&mut self, now: Millis) {
-        self.recorder.on = true;
+        self.recorder.recording = true;
         let members = self.pool.members().count() as u32;
         self.recorder.append(now, || record::Started { members }.into());
         for (id, member) in self.pool.members() {
@@ -111,7 +111,7 @@
 
     /// Records the counters. `wall` is the host's clock, in Unix milliseconds.
     pub fn record_counters(&mut self, now: Millis, wall: Millis) {
-        if self.recorder.on {
+        if self.recorder.recording {
             let values = self.counters().values().to_vec();
             self.recorder.append(now, || record::Counters { wall, values }.into());
         }
@@ -176,7 +176,7 @@
         stood: bool,
         by_client: bool,
     ) {
-        if !self.recorder.on {
+        if !self.recorder.recording {
             return;
         }
         let Some(t) = self.transactions.get(&id) else { return };
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Broker {
-    pub(super) fn on_ask(&mut self, now: Millis, id: TransactionId, ask: ClientRequest) {
+    pub(super) fn on_client_request(&mut self, now: Millis, id: TransactionId, ask: ClientRequest) {
         if self.transactions.contains_key(&id) {
             return;
         }
@@ -86,7 +86,7 @@
         let adopted = t.adoption.is_some();
         self.classes.of(request.class).served += 1;
         t.known_to_module |= adopted;
-        if self.recorder.is_on()
+        if self.recorder.is_recording()
             && let Some(t) = self.transactions.get(&id)
         {
             self.recorder.append(now, || recorder::answer_record(now, t, record::Answer::Served).into());
--- a/src/broker/tests.rs
+++ b/src/broker/tests.rs
@@ -5,7 +5,7 @@
 pub(super) struct Harness {
     pub(super) broker: Broker,
     pub(super) now: Millis,
-    seen: Vec<(Millis, DriverCommand)>,
+    driver_commands: Vec<(Millis, DriverCommand)>,
 }
 
 pub(super) fn member(name: &str, phase: Phase) -> Member {
@@ -47,23 +47,23 @@
 
 impl Harness {
     pub(super) fn new(names: &[&str]) -> Self {
-        Harness::beside(names, 1)
+        Harness::one_of(names, 1)
     }
 
     /// Creates a node that is one of `nodes`.
-    pub(super) fn beside(names: &[&str], nodes: u32) -> Self {
+    pub(super) fn one_of(names: &[&str], nodes: u32) -> Self {
         let members = names.iter().map(|name| member(name, Phase::Serving)).collect();
         let mut site = site();
         site.settings.balancers = nodes;
         let broker = Broker::new(0.0, &site, 7, list(true, members));
-        let mut harness = Harness { broker, now: 0.0, seen: Vec::new() };
+        let mut harness = Harness { broker, now: 0.0, driver_commands: Vec::new() };
         harness.collect();
         harness
     }
 
     fn collect(&mut self) {
         while let Some(driver_command) = self.broker.driver_command() {
-            self.seen.push((self.now, driver_command));
+            self.driver_commands.push((self.now, driver_command));
         }
     }
 
@@ -97,7 +97,7 @@
             DriverCommand::Front(to, command) if *to == id => Some(command.clone()),
             _ => None,
         };
-        self.seen.iter().filter_map(mine).collect()
+        self.driver_commands.iter().filter_map(mine).collect()
     }
 
     pub(super) fn answers(&self, id: TransactionId) -> usize {
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn a_silent_member_costs_one_answer_in_time() {
+fn a_silent_member_leads_to_one_answer_before_the_deadline() {
     let mut harness = Harness::new(&["a", "b"]);
     let id = harness.open(ask());
     harness.on_front_event(id, FrontEvent::Connected);
     harness.run(5_000.0);
     assert_eq!(harness.answers(id), 1);
     let at = harness
-        .seen
+        .driver_commands
         .iter()
         .find(|(_, o)| matches!(o, DriverCommand::Front(_, Command::Reject(_) | Command::Fail(_))));
     assert!(at.unwrap().0 <= 1_000.0);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_flow_is_given_up_before_the_next_and_at_most_six_are_opened() {
+fn a_flow_is_aborted_before_the_next_and_at_most_six_are_opened() {
     let mut harness = Harness::new(&["a", "b", "c"]);
     let id = harness.open(ClientRequest { grace_ms: 60_000.0, ..ask() });
     harness.run(59_000.0);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_member_that_drains_or_is_gone() {
+fn no_new_request_goes_to_a_draining_or_removed_member() {
     let mut harness = Harness::new(&["a", "b"]);
     harness.list(list(false, vec![member("a", Phase::Draining)]));
     let ids: Vec<_> = (0..20).map(|_| harness.open(ask())).collect();
@@ -169,7 +169,7 @@
 /// connection came up late. Seen 0.42 s after the news, where 0.25 s are allowed and a connect may take 0.9
 /// s.
 #[test]
-fn a_flow_not_written_yet_leaves_a_member_that_drains_and_a_written_one_stays() {
+fn an_unwritten_request_leaves_a_draining_member_and_a_written_one_stays() {
     for (connected, written, phase) in [
         (false, false, Phase::Draining),
         (false, false, Phase::Gone),
@@ -201,14 +201,14 @@
 /// Guards against failing a request of a class that must not run twice when the first connection came up too
 /// late: the request was never written.
 #[test]
-fn a_flow_given_up_before_it_was_written_has_not_run() {
+fn a_flow_aborted_before_its_request_was_written_has_not_run() {
     for written in [false, true] {
         let mut site = site();
         site.settings.classes[0].effect = Effect::SingleShot;
         site.settings.connect_timeout_ms = 5_000.0;
         let members = vec![member("a", Phase::Serving), member("b", Phase::Serving)];
         let broker = Broker::new(0.0, &site, 7, list(true, members));
-        let mut harness = Harness { broker, now: 0.0, seen: Vec::new() };
+        let mut harness = Harness { broker, now: 0.0, driver_commands: Vec::new() };
         let id = harness.open(ask());
         if written {
             harness.on_front_event(id, FrontEvent::Connected);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_negotiation_on_a_member_that_drains_moves_on_or_ends_in_good_order() {
+fn a_negotiation_at_a_draining_member_is_retried_or_closed_cleanly() {
     for committed in [false, true] {
         let mut harness = Harness::new(&["a"]);
         let id = harness.open(ClientRequest { negotiates: true, ..ask() });
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn nobody_takes_over_once_the_client_has_heard_from_a_member() {
+fn no_other_member_takes_over_after_output_reached_the_client() {
     let mut harness = Harness::new(&["a", "b"]);
     let id = harness.open(ClientRequest { negotiates: true, ..ask() });
     harness.on_front_event(id, FrontEvent::Connected);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn an_adopted_connection_goes_to_its_member_and_again_if_not_taken() {
+fn an_adoption_is_retried_at_its_member_after_a_rejection() {
     let mut harness = Harness::new(&["a", "b", "c"]);
     let id = harness.open(ClientRequest { adopted: Some("c".into()), grace_ms: 40_000.0, ..ask() });
     harness.on_front_event(id, FrontEvent::Ended(Outcome::Full, None));
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn readiness_waits_for_the_first_word_of_discovery() {
+fn readiness_waits_for_the_first_answer_of_discovery() {
     let mut harness = Harness::new(&["a"]);
     let id = harness.broker.next_id();
     harness.on_front_event(id, FrontEvent::Ping);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing_and_its_flow_is_given_up() {
+fn a_client_that_leaves_gets_no_answer_and_its_flow_is_aborted() {
     let mut harness = Harness::new(&["a"]);
     let id = harness.open(ask());
     harness.on_front_event(id, FrontEvent::Connected);
@@ -301,11 +301,11 @@
 /// Guards against a decision module that never learns of slow messages, since the socket protocols don't
 /// state them: one member that stayed overloaded cost half the score of a calm day.
 #[test]
-fn members_that_hold_connections_are_asked_for_their_message_delay() {
-    let mut harness = Harness::beside(&["a"], 2);
+fn members_that_hold_connections_are_probed_for_their_message_delay() {
+    let mut harness = Harness::one_of(&["a"], 2);
     harness.run(3_000.0);
     let probes = |harness: &Harness| {
-        harness.seen.iter().filter(|(_, o)| matches!(o, DriverCommand::Probe { .. })).count()
+        harness.driver_commands.iter().filter(|(_, o)| matches!(o, DriverCommand::Probe { .. })).count()
     };
     assert_eq!(probes(&harness), 0, "no connection there, nothing to ask");
     let id = harness.open(ask());
@@ -314,7 +314,7 @@
     harness.run(10_000.0);
     assert_eq!(probes(&harness), 1, "one probe is out at a time");
     let Some((_, DriverCommand::Probe { member, .. })) =
-        harness.seen.iter().find(|(_, o)| matches!(o, DriverCommand::Probe { .. })).cloned()
+        harness.driver_commands.iter().find(|(_, o)| matches!(o, DriverCommand::Probe { .. })).cloned()
     else {
         panic!()
     };
@@ -322,7 +322,7 @@
     harness.collect();
     assert!(
         harness
-            .seen
+            .driver_commands
             .iter()
             .any(|(_, o)| matches!(o, DriverCommand::Log(LogLine::SlowMessages(_, ms)) if *ms == 25.0))
     );
@@ -332,23 +332,26 @@
 
 /// Guards against probes where the settings forbid them: members answered `NO` to each of these connections.
 #[test]
-fn nobody_is_asked_where_probes_are_not_allowed() {
+fn no_member_is_probed_where_probes_are_disabled() {
     let mut site = site();
     site.settings.probing = false;
     let broker = Broker::new(0.0, &site, 7, list(true, vec![member("a", Phase::Serving)]));
-    let mut harness = Harness { broker, now: 0.0, seen: Vec::new() };
+    let mut harness = Harness { broker, now: 0.0, driver_commands: Vec::new() };
     let id = harness.open(ask());
     harness.on_front_event(id, FrontEvent::Connected);
     harness.on_front_event(id, FrontEvent::Up);
     harness.run(20_000.0);
     assert!(
-        !harness.seen.iter().any(|(_, driver_command)| matches!(driver_command, DriverCommand::Probe { .. }))
+        !harness
+            .driver_commands
+            .iter()
+            .any(|(_, driver_command)| matches!(driver_command, DriverCommand::Probe { .. }))
     );
 }
 
 /// The module gives an attempt only a part of the client's time while another member is left to try.
 #[test]
-fn a_negotiation_that_the_client_has_heard_of_gets_all_its_time() {
+fn a_negotiation_whose_output_reached_the_client_gets_the_full_deadline() {
     let mut harness = Harness::new(&["a", "b"]);
     let id = harness.open(ClientRequest { negotiates: true, ..ask() });
     harness.on_front_event(id, FrontEvent::Connected);
@@ -361,7 +364,7 @@
 
 /// Guards against a silent member that uses up all of a client's time: another is tried while some is left.
 #[test]
-fn a_silent_member_is_given_up_for_another_in_time() {
+fn a_silent_member_is_replaced_before_the_deadline() {
     let mut harness = Harness::new(&["a", "b"]);
     let id = harness.open(ask());
     harness.on_front_event(id, FrontEvent::Connected);
@@ -378,7 +381,7 @@
 /// Guards against clients that use the name of another open transaction: each went to six members, counted as
 /// an error at all of them, and had each of these members avoided for a while.
 #[test]
-fn a_name_that_is_open_fails_at_once_and_reaches_no_member() {
+fn a_duplicate_name_fails_at_once_and_reaches_no_member() {
     let mut harness = Harness::new(&["a", "b"]);
     let named = |name: &str| ClientRequest { name: Some(name.into()), ..ask() };
     let first = harness.open(named("x"));
@@ -398,7 +401,7 @@
 }
 
 #[test]
-fn leaving_moves_all_evenly_and_in_time() {
+fn a_shutdown_moves_all_clients_evenly_and_in_time() {
     let mut harness = Harness::new(&["a", "b"]);
     let ids: Vec<_> = (0..40)
         .map(|_| {
@@ -423,14 +426,14 @@
 /// sooner; with a longer one clients wait beyond the end of the process. Seen in two deployments: up to 40
 /// connections open at SIGKILL in a day of 40 s, and waiting clients closed without an answer.
 #[test]
-fn all_are_moved_or_answered_before_the_earliest_kill() {
+fn all_clients_are_moved_or_answered_before_the_earliest_sigkill() {
     for (longest, kill) in [(400.0, 1_100.0), (1_500.0, 2_200.0), (3_000.0, 3_700.0), (6_000.0, 3_700.0)] {
         let mut site = site();
         site.longest_deadline_ms = longest;
         let members = ["a", "b"].map(|name| member(name, Phase::Serving));
         let broker = Broker::new(0.0, &site, 7, list(true, members.into()));
-        let mut harness = Harness { broker, now: 0.0, seen: Vec::new() };
-        let standing: Vec<_> = (0..20)
+        let mut harness = Harness { broker, now: 0.0, driver_commands: Vec::new() };
+        let established: Vec<_> = (0..20)
             .map(|_| {
                 let id = harness.open(ClientRequest { grace_ms: longest, ..ask() });
                 harness.on_front_event(id, FrontEvent::Connected);
@@ -450,20 +453,23 @@
         assert!(over < kill);
         let at = |id: TransactionId| {
             let last = |o: &DriverCommand| matches!(o, DriverCommand::Front(to, c) if *to == id && !matches!(c, Command::Open { .. } | Command::Abandon));
-            harness.seen.iter().filter(|(_, o)| last(o)).map(|(at, _)| *at).collect::<Vec<_>>()
+            harness.driver_commands.iter().filter(|(_, o)| last(o)).map(|(at, _)| *at).collect::<Vec<_>>()
         };
-        for id in standing.into_iter().chain([silent, late]) {
+        for id in established.into_iter().chain([silent, late]) {
             assert!(at(id).len() == 1 && at(id)[0] <= kill - 300.0, "{longest} {:?}", at(id));
         }
-        let overdue =
-            harness.seen.iter().filter(|(_, o)| matches!(o, DriverCommand::Log(LogLine::Overdue(_)))).count();
+        let overdue = harness
+            .driver_commands
+            .iter()
+            .filter(|(_, o)| matches!(o, DriverCommand::Log(LogLine::Overdue(_))))
+            .count();
         assert_eq!((overdue, harness.broker.transactions()), (0, 0), "{longest}");
     }
 }
 
 /// Guards against clients that are cut off by a member that leaves without telling them.
 #[test]
-fn clients_are_moved_before_a_member_that_drains_leaves() {
+fn clients_are_moved_before_a_draining_member_leaves() {
     let mut harness = Harness::new(&["a"]);
     let ids: Vec<_> = (0..20)
         .map(|_| {
@@ -486,9 +492,9 @@
 /// Guards against a new node that knows no loads and fills its preferred member with all the clients that
 /// come at once.
 #[test]
-fn a_node_that_has_just_started_asks_all_members_unless_nodes_are_more() {
+fn a_new_node_probes_all_members_unless_there_are_more_nodes() {
     let probes = |nodes: u32| {
-        let mut harness = Harness::beside(&["a", "b", "c"], nodes);
+        let mut harness = Harness::one_of(&["a", "b", "c"], nodes);
         for at in 1..200 {
             harness.run(f64::from(at) * 100.0);
             let asked: Vec<_> = harness.broker.probing.in_flight.keys().copied().collect();
@@ -500,7 +506,11 @@
             DriverCommand::Probe { member, .. } => Some((at, *member)),
             _ => None,
         };
-        harness.seen.iter().filter_map(|(at, driver_command)| probe(*at, driver_command)).collect::<Vec<_>>()
+        harness
+            .driver_commands
+            .iter()
+            .filter_map(|(at, driver_command)| probe(*at, driver_command))
+            .collect::<Vec<_>>()
     };
     let few = probes(3);
     let first: BTreeSet<_> = few.iter().filter(|(at, _)| *at < 100.0).map(|(_, member)| *member).collect();
@@ -514,12 +524,12 @@
 /// Guards against probes that grow with the list: with thousands of members they took every descriptor
 /// (incident 2).
 #[test]
-fn a_node_asks_no_more_members_where_thousands_are_listed() {
+fn the_number_of_probes_does_not_grow_with_the_list() {
     let names: Vec<String> = (0..3_200).map(|at| format!("m{at}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut harness = Harness::beside(&names, 900);
-    let standing: Vec<_> = names.iter().step_by(16).collect();
-    for name in &standing {
+    let mut harness = Harness::one_of(&names, 900);
+    let established: Vec<_> = names.iter().step_by(16).collect();
+    for name in &established {
         let id =
             harness.open(ClientRequest { adopted: Some((**name).to_owned()), grace_ms: 40_000.0, ..ask() });
         harness.on_front_event(id, FrontEvent::Connected);
@@ -527,7 +537,7 @@
     }
     harness.run(5_000.0);
     let out = harness.broker.probing.in_flight.len();
-    assert!((1..=32).contains(&out), "{out} members asked, {} hold connections", standing.len());
+    assert!((1..=32).contains(&out), "{out} members asked, {} hold connections", established.len());
     // No probe is answered: the same members stay probed, and no new connection is made.
     harness.run(9_000.0);
     assert_eq!(harness.broker.probing.in_flight.len(), out);
@@ -535,12 +545,12 @@
 
 /// Guards against a report that shows a shutdown where the node was drained and then served again.
 #[test]
-fn a_drain_is_not_recorded_as_the_nodes_end() {
+fn a_drain_is_not_recorded_as_a_shutdown() {
     let mut harness = Harness::new(&["a"]);
     harness.broker.record(0.0);
     let ends = |harness: &mut Harness| {
-        let take_records = harness.broker.take_records(Vec::new()).records;
-        take_records.iter().filter(|record| matches!(record.event, record::Event::Leaving(_))).count()
+        let batch = harness.broker.take_records(Vec::new()).records;
+        batch.iter().filter(|record| matches!(record.event, record::Event::Leaving(_))).count()
     };
     assert!(harness.broker.drain(0.0) && harness.broker.resume());
     assert_eq!(ends(&mut harness), 0);
