--- a/src/broker/adoption/tests.rs
+++ b/src/broker/adoption/tests.rs
@@ -1,9 +1,9 @@
 //! Adoption of connections from before the process start, as lists, members and shutdown interleave with it.
-use super::super::tests::{Harness, ask, list, member, opened};
+use super::super::tests::{Harness, list, member, opened, request};
 use super::*;
 
 fn adopting(harness: &mut Harness, holder: &str, grace_ms: Millis) -> TransactionId {
-    harness.open(ClientRequest { adopted: Some(holder.into()), grace_ms, ..ask() })
+    harness.open(ClientRequest { adopted: Some(holder.into()), grace_ms, ..request() })
 }
 
 fn establish(harness: &mut Harness, id: TransactionId) {
@@ -35,7 +35,11 @@
     }
     assert_eq!(opened(&harness.commands(id)), Vec::<String>::new());
     harness.run(6_100.0);
-    assert_eq!(opened(&harness.commands(id)).len(), 1, "a member that is never listed has lost it");
+    assert_eq!(
+        opened(&harness.commands(id)).len(),
+        1,
+        "a member that is never listed has lost the connection"
+    );
     establish(&mut harness, id);
     assert_eq!(harness.answers(id), 0);
 }
@@ -89,21 +93,21 @@
 
 /// The six attempts are spread over much of the long deadline that such a client has.
 #[test]
-fn a_full_member_is_asked_six_times_within_half_a_minute() {
+fn a_full_member_is_tried_six_times_over_about_half_a_minute() {
     let mut harness = Harness::new(&["a", "b"]);
     let id = adopting(&mut harness, "b", 60_000.0);
-    let mut asked = Vec::new();
+    let mut tried_at = Vec::new();
     for at in 0..600 {
         harness.run(f64::from(at) * 100.0);
-        if opened(&harness.commands(id)).len() > asked.len() {
-            asked.push(harness.now);
+        if opened(&harness.commands(id)).len() > tried_at.len() {
+            tried_at.push(harness.now);
             harness.on_front_event(id, FrontEvent::Connected);
             harness.on_front_event(id, FrontEvent::Sent);
             harness.on_front_event(id, FrontEvent::Ended(Outcome::Full, None));
         }
     }
-    assert_eq!((asked.len(), harness.answers(id)), (6, 1));
-    assert!(asked[5] > 20_000.0 && asked[5] < 38_000.0, "{asked:?}");
+    assert_eq!((tried_at.len(), harness.answers(id)), (6, 1));
+    assert!(tried_at[5] > 20_000.0 && tried_at[5] < 38_000.0, "{tried_at:?}");
 }
 
 #[test]
@@ -111,8 +115,8 @@
     let mut harness = Harness::new(&["a"]);
     let id = adopting(&mut harness, "z", 4_294_967.0);
     harness.run(500.0);
-    let over = harness.broker.leave(harness.now);
-    harness.run(500.0 + over);
+    let exit_by = harness.broker.leave(harness.now);
+    harness.run(500.0 + exit_by);
     assert_eq!(harness.answers(id), 1);
 }
 
--- a/src/broker/counters.rs
+++ b/src/broker/counters.rs
@@ -166,8 +166,8 @@
     held,
 }
 
-pub(super) fn count_client_error(counters: &mut Counters, bad: ClientError) {
-    let counter = match bad {
+pub(super) fn count_client_error(counters: &mut Counters, error: ClientError) {
+    let counter = match error {
         ClientError::Malformed => &mut counters.bad_malformed,
         ClientError::TooLong => &mut counters.bad_too_long,
         ClientError::Unknown => &mut counters.bad_unknown,
@@ -177,8 +177,8 @@
     *counter += 1;
 }
 
-pub(super) fn count_outcome(counters: &mut Counters, outcome: Outcome, stood: bool) {
-    let counter = match (outcome, stood) {
+pub(super) fn count_outcome(counters: &mut Counters, outcome: Outcome, was_established: bool) {
+    let counter = match (outcome, was_established) {
         (Outcome::Ok | Outcome::Cancelled, true) => &mut counters.ended,
         (_, true) => &mut counters.broken,
         (Outcome::Full, _) => &mut counters.flows_full,
--- a/src/broker/delay.rs
+++ b/src/broker/delay.rs
@@ -12,6 +12,7 @@
 /// Lifetime of a member's report, unless a newer one replaces it.
 const REPORT_TTL_MS: Millis = 5_000.0;
 
+/// Message delays of all members, and which of them the decision module was told of.
 pub(super) struct MessageDelays {
     enabled: bool,
     threshold_ms: Millis,
@@ -22,6 +23,7 @@
 struct Member {
     /// Time of the last notification that messages are slow; `None` while they are not.
     last_notified: Option<Millis>,
+    /// The delay that the member last reported, and the time of the report.
     reported: Option<(Millis, Millis)>,
 }
 
--- a/src/broker/delay/tests.rs
+++ b/src/broker/delay/tests.rs
@@ -32,7 +32,7 @@
     assert_eq!(delays.reported(0.0, member, 183.0), Some(183.0));
     assert_eq!(delays.measured(100.0, member, 0.05), None);
     assert_eq!(delays.measured(1_100.0, member, 0.05), Some(183.0));
-    assert_eq!(delays.measured(5_100.0, member, 0.05), Some(0.05), "a report does not stand for ever");
+    assert_eq!(delays.measured(5_100.0, member, 0.05), Some(0.05), "the report has expired");
     assert_eq!(delays.reported(5_200.0, member, 183.0), Some(183.0));
     assert_eq!(delays.reported(5_300.0, member, 1.0), Some(1.0));
 }
--- a/src/broker/leaving/tests.rs
+++ b/src/broker/leaving/tests.rs
@@ -26,7 +26,7 @@
     /// of a drain or shutdown, and one in progress is not started again.
     #[test]
     fn no_client_moves_while_the_node_stays_and_none_is_left_in_the_end(calls in calls(), longest in 0.0..8_000.0) {
-        let (mut leaving, mut now, mut standing) = (Leaving::No, 0.0, 0usize);
+        let (mut leaving, mut now, mut established) = (Leaving::No, 0.0, 0usize);
         let shutdown_times = ShutdownTimes::new(longest);
         let mut since: Option<(Millis, Millis)> = None;
         for call in calls {
@@ -37,27 +37,27 @@
                     since = since.or(Some((now, 4_000.0)));
                 }
                 Call::Resume => {
-                    let may = since.is_none_or(|(_, within)| within == 4_000.0);
-                    prop_assert_eq!(leaving.resume(), may);
-                    since = since.filter(|_| !may);
+                    let allowed = since.is_none_or(|(_, within)| within == 4_000.0);
+                    prop_assert_eq!(leaving.resume(), allowed);
+                    since = since.filter(|_| !allowed);
                 }
                 Call::End => {
-                    let anew = since.is_none_or(|(_, within)| within == 4_000.0);
-                    prop_assert_eq!(leaving.end(now, shutdown_times), anew);
-                    since = if anew { Some((now, shutdown_times.done_by + MOVE_STEP_MS)) } else { since };
+                    let started = since.is_none_or(|(_, within)| within == 4_000.0);
+                    prop_assert_eq!(leaving.end(now, shutdown_times), started);
+                    since = if started { Some((now, shutdown_times.done_by + MOVE_STEP_MS)) } else { since };
                 }
-                Call::Connect => standing += 1,
-                Call::Leave => standing = standing.saturating_sub(1),
+                Call::Connect => established += 1,
+                Call::Leave => established = established.saturating_sub(1),
                 Call::Wait => now += MOVE_STEP_MS,
             }
             if matches!(call, Call::Wait) {
-                let due = leaving.moves_due(now, standing);
+                let due = leaving.moves_due(now, established);
                 prop_assert_eq!(due.is_some(), since.is_some());
-                prop_assert!(due.unwrap_or(0) <= standing);
-                standing -= due.unwrap_or(0);
+                prop_assert!(due.unwrap_or(0) <= established);
+                established -= due.unwrap_or(0);
             }
             if let Some((_, within)) = since.filter(|(from, within)| matches!(call, Call::Wait) && now > from + within) {
-                prop_assert_eq!(standing, 0, "{} ms after the call", within);
+                prop_assert_eq!(established, 0, "{} ms after the call", within);
             }
             prop_assert_eq!(leaving.takes_clients(), since.is_none_or(|(_, within)| within != 4_000.0));
         }
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -129,7 +129,7 @@
     Move,
 }
 
-/// An order of the broker to its driver.
+/// A command of the broker to its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DriverCommand {
     /// Pass a command to the transaction's front.
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -62,6 +62,7 @@
     name: Option<Box<str>>,
     request: Request,
     stage: Stage,
+    /// Flows opened so far.
     flows: u32,
     member: Option<BackendId>,
     member_name: String,
@@ -77,6 +78,7 @@
     /// was written.
     uncounted_flows: u32,
     negotiates: bool,
+    /// Output of the member has reached the client, so no other member can take over.
     committed: bool,
     /// Whether the decision module knows of the transaction. It learns of an adoption only once that
     /// succeeded, or is placed like a new request.
@@ -111,6 +113,7 @@
     transactions: BTreeMap<TransactionId, Transaction>,
     /// Client-chosen names of the open transactions.
     open_names: BTreeSet<Box<str>>,
+    /// Readiness checks that wait until the node is ready.
     readiness_checks: Vec<TransactionId>,
     pool: Pool,
     /// Lease on the current list of members.
@@ -125,6 +128,7 @@
     probing: Probing,
     timers: Timers<Due>,
     events: VecDeque<Event>,
+    /// An event is being passed to the decision module; further ones are queued.
     dispatching: bool,
     watching: bool,
     ready: bool,
@@ -273,7 +277,7 @@
         RequestId(self.next)
     }
 
-    /// Takes the next order for the driver, first in, first out.
+    /// Takes the next command for the driver, first in, first out.
     pub fn driver_command(&mut self) -> Option<DriverCommand> {
         self.driver_commands.pop_front()
     }
@@ -298,7 +302,8 @@
         self.transactions.len()
     }
 
-    /// Marks the node ready, when the first list is known, and answers the readiness checks that wait for it.
+    /// Marks the node ready and answers the readiness checks that wait for it. Called once discovery has
+    /// answered, is not configured or has been waited for long enough.
     pub fn set_ready(&mut self) {
         if !std::mem::replace(&mut self.ready, true) {
             self.driver_commands.push_back(DriverCommand::Opened);
@@ -388,16 +393,16 @@
 
     /// Sets the number of nodes that share the pool, this one included, as its view of the fleet shows.
     pub fn sharing(&mut self, now: Millis, nodes: u32) {
-        self.probing.sharing(nodes);
+        self.probing.set_node_count(nodes);
         self.feed(now, Event::NodeCount(nodes));
     }
 
     // ---- Input from fronts ----
 
     /// Handles what a front reports of a transaction.
-    pub fn on_front_event(&mut self, now: Millis, id: TransactionId, said: FrontEvent) {
-        match said {
-            FrontEvent::ClientRequest(ask) => self.on_client_request(now, id, ask),
+    pub fn on_front_event(&mut self, now: Millis, id: TransactionId, front_event: FrontEvent) {
+        match front_event {
+            FrontEvent::ClientRequest(client_request) => self.on_client_request(now, id, client_request),
             FrontEvent::Ping if self.superseded || !self.leaving.takes_clients() => {
                 self.driver_commands.push_back(DriverCommand::Front(id, Command::Unready))
             }
@@ -405,7 +410,7 @@
                 self.driver_commands.push_back(DriverCommand::Front(id, Command::Ready))
             }
             FrontEvent::Ping => self.readiness_checks.push(id),
-            FrontEvent::ClientError(bad) => count_client_error(&mut self.counters, bad),
+            FrontEvent::ClientError(error) => count_client_error(&mut self.counters, error),
             FrontEvent::Connected => {
                 if let Some(t) = self.transactions.get_mut(&id)
                     && matches!(t.stage, Stage::Attempting { .. })
@@ -432,10 +437,10 @@
             FrontEvent::MovedByMember => self.on_moved_by_member(now, id),
             FrontEvent::Left => self.on_client_left(now, id),
             FrontEvent::Message(took_ms) => {
-                let up = self.transactions.get(&id).filter(|t| t.stage == Stage::Established);
-                let Some(member) = up.and_then(|t| t.member) else { return };
-                let told = self.delays.measured(now, member, took_ms);
-                self.notify_delay(now, member, told);
+                let established = self.transactions.get(&id).filter(|t| t.stage == Stage::Established);
+                let Some(member) = established.and_then(|t| t.member) else { return };
+                let delay_ms = self.delays.measured(now, member, took_ms);
+                self.notify_delay(now, member, delay_ms);
             }
             FrontEvent::Load(load) => self.feed(now, Event::LoadChanged { id, load }),
         }
--- a/src/broker/moves.rs
+++ b/src/broker/moves.rs
@@ -14,16 +14,16 @@
 impl Broker {
     /// Starts to move the clients of a member that drains or is gone.
     pub(super) fn begin_drain(&mut self, now: Millis, member: BackendId, phase: Phase) {
-        let within = match phase {
+        let duration_ms = match phase {
             Phase::Serving => return,
             Phase::Draining => DRAIN_MOVE_DURATION_MS,
             Phase::Gone => GONE_MOVE_DURATION_MS,
         };
         // No new flow goes to this member, so without one now there will be no client to move later. This
         // avoids a timer per member when thousands are rolled out.
-        let there = |t: &Transaction| t.member == Some(member) && t.stage != Stage::Waiting;
-        if self.transactions.values().any(there) {
-            let schedule = MoveSchedule::new(now, now + within);
+        let at_member = |t: &Transaction| t.member == Some(member) && t.stage != Stage::Waiting;
+        if self.transactions.values().any(at_member) {
+            let schedule = MoveSchedule::new(now, now + duration_ms);
             self.timers.set(now + MOVE_STEP_MS, Due::DrainStep(member, schedule));
         }
     }
@@ -105,8 +105,8 @@
     }
 
     pub(super) fn leave_step(&mut self, now: Millis) {
-        let standing = self.transactions.values().filter(|t| t.stage == Stage::Established).count();
-        self.step_scheduled = match self.leaving.moves_due(now, standing) {
+        let established = self.transactions.values().filter(|t| t.stage == Stage::Established).count();
+        self.step_scheduled = match self.leaving.moves_due(now, established) {
             Some(due) => {
                 self.move_clients(now, due, Reason::Leaving, |_| true);
                 self.timers.set(now + MOVE_STEP_MS, Due::LeaveStep);
@@ -121,9 +121,10 @@
     pub(super) fn drain_step(&mut self, now: Millis, member: BackendId, mut schedule: MoveSchedule) {
         if !self.pool.serving(member) {
             let reason = if self.pool.listed(member) { Reason::Draining } else { Reason::Gone };
-            let there = |t: &Transaction| t.member == Some(member);
-            let up = self.transactions.values().filter(|t| t.stage == Stage::Established && there(t)).count();
-            self.move_clients(now, schedule.moves_due(now, up), reason, there);
+            let at_member = |t: &Transaction| t.member == Some(member);
+            let clients =
+                self.transactions.values().filter(|t| t.stage == Stage::Established && at_member(t)).count();
+            self.move_clients(now, schedule.moves_due(now, clients), reason, at_member);
             if !schedule.is_over(now) {
                 self.timers.set(now + MOVE_STEP_MS, Due::DrainStep(member, schedule));
             }
@@ -137,8 +138,8 @@
         reason: Reason,
         which: impl Fn(&Transaction) -> bool,
     ) {
-        let up = self.transactions.iter().filter(|(_, t)| t.stage == Stage::Established && which(t));
-        let due: Vec<_> = up.map(|(id, _)| *id).take(max).collect();
+        let candidates = self.transactions.iter().filter(|(_, t)| t.stage == Stage::Established && which(t));
+        let due: Vec<_> = candidates.map(|(id, _)| *id).take(max).collect();
         for id in due {
             self.move_client(now, id, reason);
         }
--- a/src/broker/pool.rs
+++ b/src/broker/pool.rs
@@ -18,7 +18,7 @@
         /// Version of the rejected list.
         seq: u64,
         /// Version of the current list.
-        at_hand: u64,
+        current: u64,
     },
 }
 
@@ -26,7 +26,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             ListError::Empty => f.write_str("the list names no members"),
-            ListError::Older { seq, at_hand } => write!(f, "version {seq} is older than {at_hand}"),
+            ListError::Older { seq, current } => write!(f, "version {seq} is older than {current}"),
         }
     }
 }
@@ -52,7 +52,7 @@
         if list.seq < self.seq && !self.numbering_changed {
             self.older_in_a_row += 1;
             if !list.whole || self.older_in_a_row < OLDER_LISTS_UNTIL_ACCEPTED {
-                return Err(ListError::Older { seq: list.seq, at_hand: self.seq });
+                return Err(ListError::Older { seq: list.seq, current: self.seq });
             }
         }
         (self.older_in_a_row, self.numbering_changed) = (0, false);
@@ -64,23 +64,23 @@
         self.numbering_changed = true;
     }
 
-    /// Applies a list (`all`) or a patch. Returns its entries for the decision module, and the members that
-    /// changed.
+    /// Applies a list (`complete`) or a patch. Returns its entries for the decision module, and the members
+    /// that changed.
     pub(super) fn merge(
         &mut self,
         list: PoolList,
-        all: bool,
+        complete: bool,
     ) -> (Vec<BackendInfo>, Vec<(BackendId, String, Phase)>) {
-        if all || !list.members.is_empty() {
+        if complete || !list.members.is_empty() {
             self.seq = list.seq;
         }
-        let mut before = if all { std::mem::take(&mut self.members) } else { BTreeMap::new() };
-        let mut lines = Vec::with_capacity(list.members.len());
+        let mut previous = if complete { std::mem::take(&mut self.members) } else { BTreeMap::new() };
+        let mut entries = Vec::with_capacity(list.members.len());
         let mut changed = Vec::new();
         for member in list.members {
             let id = self.id_for(&member.name);
-            lines.push(member.info(id));
-            let old = before.remove(&id).or_else(|| self.members.remove(&id));
+            entries.push(member.info(id));
+            let old = previous.remove(&id).or_else(|| self.members.remove(&id));
             if old.is_none_or(|old| old.phase != member.phase || old.born != member.born) {
                 changed.push((id, member.name.clone(), member.phase));
             }
@@ -88,10 +88,10 @@
                 self.members.insert(id, member);
             }
         }
-        if all {
-            changed.extend(before.into_iter().map(|(id, member)| (id, member.name, Phase::Gone)));
+        if complete {
+            changed.extend(previous.into_iter().map(|(id, member)| (id, member.name, Phase::Gone)));
         }
-        (lines, changed)
+        (entries, changed)
     }
 
     /// Returns a member's number, a hash of its name, so that it is the same at every node. Collisions take
--- a/src/broker/pool/tests.rs
+++ b/src/broker/pool/tests.rs
@@ -23,10 +23,10 @@
 #[test]
 fn an_empty_or_older_list_is_rejected() {
     let mut pool = Pool::default();
-    assert_eq!(apply(&mut pool, list(0, true, &[])), Ok(()), "nobody is known yet");
+    assert_eq!(apply(&mut pool, list(0, true, &[])), Ok(()), "no member is known yet");
     apply(&mut pool, list(41, true, &["a", "b"])).unwrap();
     assert_eq!(apply(&mut pool, list(42, true, &[])), Err(ListError::Empty));
-    let older = |seq| Err(ListError::Older { seq, at_hand: 41 });
+    let older = |seq| Err(ListError::Older { seq, current: 41 });
     assert_eq!(apply(&mut pool, list(40, true, &["a"])), older(40));
     assert_eq!(apply(&mut pool, list(40, false, &["c"])), older(40));
     assert_eq!((pool.members().count(), pool.seq), (2, 41));
@@ -41,7 +41,7 @@
     apply(&mut pool, list(41, true, &["a", "b"])).unwrap();
     assert!(apply(&mut pool, list(2, false, &["c"])).is_err());
     assert!(apply(&mut pool, list(2, true, &["c"])).is_err());
-    assert!(apply(&mut pool, list(2, false, &["c"])).is_err(), "changes alone don't make a list");
+    assert!(apply(&mut pool, list(2, false, &["c"])).is_err(), "a patch does not replace the list");
     apply(&mut pool, list(2, true, &["c"])).unwrap();
     assert_eq!((pool.members().count(), pool.seq), (1, 2));
     // Another discovery service is accepted at once, but only for its first list.
--- a/src/broker/probing.rs
+++ b/src/broker/probing.rs
@@ -37,18 +37,22 @@
 impl Probing {
     pub(super) fn new(now: Millis, settings: &Settings, seed: u64) -> Self {
         let quota = settings.quota_per_node();
-        let stated = (quota / CONNECTIONS_PER_PROBE).ceil() as usize;
+        let from_quota = (quota / CONNECTIONS_PER_PROBE).ceil() as usize;
         Probing {
             sampling_until: now + STARTUP_SAMPLING_MS,
             nodes: settings.balancers as usize,
-            sample_size: if quota > 0.0 { stated.min(MAX_PROBES_PER_ROUND) } else { MAX_PROBES_PER_ROUND },
+            sample_size: if quota > 0.0 {
+                from_quota.min(MAX_PROBES_PER_ROUND)
+            } else {
+                MAX_PROBES_PER_ROUND
+            },
             salt: mix(seed),
             in_flight: BTreeMap::new(),
         }
     }
 
     /// Sets the number of nodes that share the pool.
-    pub(super) fn sharing(&mut self, nodes: u32) {
+    pub(super) fn set_node_count(&mut self, nodes: u32) {
         self.nodes = nodes as usize;
     }
 
@@ -62,12 +66,12 @@
         pool: &Pool,
     ) -> BTreeSet<BackendId> {
         let serving = |id: &BackendId| pool.serving(*id);
-        let mut asked = self.pick(holding.iter().copied().filter(serving), MAX_PROBES_PER_ROUND);
+        let mut selected = self.pick(holding.iter().copied().filter(serving), MAX_PROBES_PER_ROUND);
         if now < self.sampling_until && self.nodes <= pool.members().count() {
-            let sample_size = self.sample_size.min(MAX_PROBES_PER_ROUND - asked.len());
-            asked.extend(self.pick(pool.members().map(|(id, _)| id).filter(serving), sample_size));
+            let sample_size = self.sample_size.min(MAX_PROBES_PER_ROUND - selected.len());
+            selected.extend(self.pick(pool.members().map(|(id, _)| id).filter(serving), sample_size));
         }
-        asked
+        selected
     }
 
     /// Returns at most `max_members` of the members, by an order that differs from node to node.
@@ -149,14 +153,14 @@
             self.feed(now, Event::ProbeEnded { backend: member, outcome, report });
         }
         if let Some(message_ms) = message_ms {
-            let told = self.delays.reported(now, member, message_ms);
-            self.notify_delay(now, member, told);
+            let delay_ms = self.delays.reported(now, member, message_ms);
+            self.notify_delay(now, member, delay_ms);
         }
     }
 
     /// Tells the decision module of a message delay, if there is one to tell.
-    pub(super) fn notify_delay(&mut self, now: Millis, member: BackendId, told: Option<Millis>) {
-        let Some(took_ms) = told else { return };
+    pub(super) fn notify_delay(&mut self, now: Millis, member: BackendId, delay_ms: Option<Millis>) {
+        let Some(took_ms) = delay_ms else { return };
         self.log(LogLine::SlowMessages(self.pool.name(member), took_ms));
         let delay = record::Delay { member: recorder::member_id(member), took_ms: took_ms as f32 };
         self.recorder.append(now, || delay.into());
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -3,13 +3,18 @@
 use super::*;
 
 impl Broker {
-    pub(super) fn on_client_request(&mut self, now: Millis, id: TransactionId, ask: ClientRequest) {
+    pub(super) fn on_client_request(
+        &mut self,
+        now: Millis,
+        id: TransactionId,
+        client_request: ClientRequest,
+    ) {
         if self.transactions.contains_key(&id) {
             return;
         }
         // Guards against a client that uses the name of another open transaction: members would refuse it one
         // after the other, and each refusal would count against the member.
-        if let Some(name) = &ask.name
+        if let Some(name) = &client_request.name
             && !self.open_names.insert(name.clone())
         {
             self.counters.bad_duplicate += 1;
@@ -22,34 +27,35 @@
         self.recorder.append(now, || {
             let asked = record::Asked {
                 transaction: id.0,
-                class: ask.class.0,
-                tenant: ask.tenant.0,
-                coming: ask.coming.into(),
-                adopted: ask.adopted.is_some(),
-                grace_ms: ask.grace_ms as f32,
+                class: client_request.class.0,
+                tenant: client_request.tenant.0,
+                coming: client_request.coming.into(),
+                adopted: client_request.adopted.is_some(),
+                grace_ms: client_request.grace_ms as f32,
             };
             asked.into()
         });
-        let grace_ms = if ask.grace_ms.is_finite() { ask.grace_ms.max(0.0) } else { 0.0 };
+        let grace_ms =
+            if client_request.grace_ms.is_finite() { client_request.grace_ms.max(0.0) } else { 0.0 };
         // The process exits when the shutdown is over, so no client may wait for longer.
         let grace_ms = self.leaving.end_deadline().map_or(grace_ms, |by| grace_ms.min((by - now).max(0.0)));
         let request = Request {
             id,
-            tenant: ask.tenant,
-            class: ask.class,
-            group: ask.group,
-            key: ask.key,
+            tenant: client_request.tenant,
+            class: client_request.class,
+            group: client_request.group,
+            key: client_request.key,
             grace_ms,
-            load_hint: ask.load_hint,
+            load_hint: client_request.load_hint,
             mid_flow: false,
         };
         let deadline = now + grace_ms;
-        let adoption = ask.adopted.as_deref().map(Adoption::new);
-        let stood = adoption.is_some();
+        let adoption = client_request.adopted.as_deref().map(Adoption::new);
+        let adopting = adoption.is_some();
         self.transactions.insert(
             id,
             Transaction {
-                name: ask.name,
+                name: client_request.name,
                 request,
                 stage: Stage::Waiting,
                 flows: 0,
@@ -61,15 +67,15 @@
                 adoption,
                 attempts: 0,
                 uncounted_flows: 0,
-                negotiates: ask.negotiates,
+                negotiates: client_request.negotiates,
                 committed: false,
-                known_to_module: !stood,
+                known_to_module: !adopting,
                 written: false,
                 may_have_run: false,
             },
         );
         self.timers.set(deadline, Due::AnswerOverdue(id));
-        if stood {
+        if adopting {
             self.open_at_holder(now, id);
         } else {
             self.feed(now, Event::Request(request));
@@ -99,15 +105,15 @@
     }
 
     pub(super) fn on_client_left(&mut self, now: Millis, id: TransactionId) {
-        self.readiness_checks.retain(|ping| *ping != id);
+        self.readiness_checks.retain(|waiting| *waiting != id);
         let Some(t) = self.transactions.get(&id) else { return };
         self.counters.left += 1;
-        let told = t.known_to_module;
+        let module_knows = t.known_to_module;
         if t.stage == Stage::Established {
             self.record_flow(now, id, Outcome::Cancelled, true, true);
             return self.finish_flow(now, id, Outcome::Cancelled, None);
         }
-        if told {
+        if module_knows {
             self.feed(now, Event::ClientGone { id });
         }
         // The decision module may have cancelled the flow on `ClientGone`.
@@ -117,7 +123,7 @@
         }
         let Some(t) = self.forget(id) else { return };
         self.record_answer(now, &t, record::Answer::Left);
-        if let (true, Stage::Attempting { .. }, Some(backend)) = (told, stage, t.member) {
+        if let (true, Stage::Attempting { .. }, Some(backend)) = (module_knows, stage, t.member) {
             let attempt = t.flows.saturating_sub(1);
             let outcome = Outcome::Cancelled;
             self.feed(now, Event::Ended { id, attempt, backend, outcome, closed: true, report: None });
@@ -148,7 +154,7 @@
     /// misses the deadline.
     pub(super) fn answer_overdue(&mut self, now: Millis, id: TransactionId) {
         let Some(t) = self.transactions.get(&id).filter(|t| t.stage != Stage::Established) else { return };
-        let (out, told) = (t.stage != Stage::Waiting, t.known_to_module);
+        let (attempting, module_knows) = (t.stage != Stage::Waiting, t.known_to_module);
         let ended = Event::Ended {
             id,
             attempt: t.flows.saturating_sub(1),
@@ -160,13 +166,13 @@
         self.recorder
             .append(now, || record::Fault { what: format!("answer of transaction {} overdue", id.0) }.into());
         self.log(LogLine::Overdue(id));
-        if out {
+        if attempting {
             self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
         }
         self.answer(now, id, Command::Fail(Failure::Deadline));
-        if told {
+        if module_knows {
             self.feed(now, Event::ClientGone { id });
-            if out {
+            if attempting {
                 self.feed(now, ended);
             }
         }
--- a/src/broker/tests.rs
+++ b/src/broker/tests.rs
@@ -30,7 +30,7 @@
     Site { settings, ..Site::default() }
 }
 
-pub(super) fn ask() -> ClientRequest {
+pub(super) fn request() -> ClientRequest {
     ClientRequest {
         name: None,
         class: ClassId(0),
@@ -67,14 +67,14 @@
         }
     }
 
-    pub(super) fn on_front_event(&mut self, id: TransactionId, said: FrontEvent) {
-        self.broker.on_front_event(self.now, id, said);
+    pub(super) fn on_front_event(&mut self, id: TransactionId, front_event: FrontEvent) {
+        self.broker.on_front_event(self.now, id, front_event);
         self.collect();
     }
 
-    pub(super) fn open(&mut self, ask: ClientRequest) -> TransactionId {
+    pub(super) fn open(&mut self, request: ClientRequest) -> TransactionId {
         let id = self.broker.next_id();
-        self.on_front_event(id, FrontEvent::ClientRequest(ask));
+        self.on_front_event(id, FrontEvent::ClientRequest(request));
         id
     }
 
@@ -117,7 +117,7 @@
 #[test]
 fn a_silent_member_leads_to_one_answer_before_the_deadline() {
     let mut harness = Harness::new(&["a", "b"]);
-    let id = harness.open(ask());
+    let id = harness.open(request());
     harness.on_front_event(id, FrontEvent::Connected);
     harness.run(5_000.0);
     assert_eq!(harness.answers(id), 1);
@@ -132,7 +132,7 @@
 #[test]
 fn a_flow_is_aborted_before_the_next_and_at_most_six_are_opened() {
     let mut harness = Harness::new(&["a", "b", "c"]);
-    let id = harness.open(ClientRequest { grace_ms: 60_000.0, ..ask() });
+    let id = harness.open(ClientRequest { grace_ms: 60_000.0, ..request() });
     harness.run(59_000.0);
     let commands = harness.commands(id);
     let mut out = 0;
@@ -153,15 +153,15 @@
 fn no_new_request_goes_to_a_draining_or_removed_member() {
     let mut harness = Harness::new(&["a", "b"]);
     harness.list(list(false, vec![member("a", Phase::Draining)]));
-    let ids: Vec<_> = (0..20).map(|_| harness.open(ask())).collect();
+    let ids: Vec<_> = (0..20).map(|_| harness.open(request())).collect();
     for id in &ids {
         assert!(opened(&harness.commands(*id)).iter().all(|name| name == "b"));
     }
     harness.list(list(true, vec![member("a", Phase::Draining)]));
-    let id = harness.open(ask());
-    assert!(opened(&harness.commands(id)).is_empty(), "missing from a whole list: gone");
+    let id = harness.open(request());
+    assert!(opened(&harness.commands(id)).is_empty(), "missing from a complete list, so gone");
     harness.list(list(false, vec![member("a", Phase::Gone)]));
-    let id = harness.open(ask());
+    let id = harness.open(request());
     assert!(opened(&harness.commands(id)).is_empty());
 }
 
@@ -177,7 +177,7 @@
         (true, true, Phase::Draining),
     ] {
         let mut harness = Harness::new(&["a"]);
-        let id = harness.open(ask());
+        let id = harness.open(request());
         if connected {
             harness.on_front_event(id, FrontEvent::Connected);
         }
@@ -190,10 +190,14 @@
         let commands = harness.commands(id);
         let members = opened(&commands);
         if written {
-            assert_eq!((members.len(), commands.len()), (1, 1), "what it has it finishes");
+            assert_eq!((members.len(), commands.len()), (1, 1), "the member finishes a written request");
         } else {
             assert_eq!(members, ["a", "b"]);
-            assert_eq!(commands[1], Command::Abandon, "the first is given up before the second is out");
+            assert_eq!(
+                commands[1],
+                Command::Abandon,
+                "the first flow is aborted before the second is opened"
+            );
         }
     }
 }
@@ -209,7 +213,7 @@
         let members = vec![member("a", Phase::Serving), member("b", Phase::Serving)];
         let broker = Broker::new(0.0, &site, 7, list(true, members));
         let mut harness = Harness { broker, now: 0.0, driver_commands: Vec::new() };
-        let id = harness.open(ask());
+        let id = harness.open(request());
         if written {
             harness.on_front_event(id, FrontEvent::Connected);
             harness.on_front_event(id, FrontEvent::Sent);
@@ -228,7 +232,7 @@
 fn a_negotiation_at_a_draining_member_is_retried_or_closed_cleanly() {
     for committed in [false, true] {
         let mut harness = Harness::new(&["a"]);
-        let id = harness.open(ClientRequest { negotiates: true, ..ask() });
+        let id = harness.open(ClientRequest { negotiates: true, ..request() });
         harness.on_front_event(id, FrontEvent::Connected);
         if committed {
             harness.on_front_event(id, FrontEvent::Committed);
@@ -249,7 +253,7 @@
 #[test]
 fn no_other_member_takes_over_after_output_reached_the_client() {
     let mut harness = Harness::new(&["a", "b"]);
-    let id = harness.open(ClientRequest { negotiates: true, ..ask() });
+    let id = harness.open(ClientRequest { negotiates: true, ..request() });
     harness.on_front_event(id, FrontEvent::Connected);
     harness.on_front_event(id, FrontEvent::Committed);
     harness.on_front_event(id, FrontEvent::Ended(Outcome::Reset, None));
@@ -262,7 +266,7 @@
 #[test]
 fn an_adoption_is_retried_at_its_member_after_a_rejection() {
     let mut harness = Harness::new(&["a", "b", "c"]);
-    let id = harness.open(ClientRequest { adopted: Some("c".into()), grace_ms: 40_000.0, ..ask() });
+    let id = harness.open(ClientRequest { adopted: Some("c".into()), grace_ms: 40_000.0, ..request() });
     harness.on_front_event(id, FrontEvent::Ended(Outcome::Full, None));
     harness.run(600.0);
     assert_eq!(opened(&harness.commands(id)), ["c", "c"]);
@@ -290,7 +294,7 @@
 #[test]
 fn a_client_that_leaves_gets_no_answer_and_its_flow_is_aborted() {
     let mut harness = Harness::new(&["a"]);
-    let id = harness.open(ask());
+    let id = harness.open(request());
     harness.on_front_event(id, FrontEvent::Connected);
     harness.on_front_event(id, FrontEvent::Left);
     assert_eq!(harness.commands(id).iter().filter(|c| **c == Command::Abandon).count(), 1);
@@ -299,7 +303,7 @@
 }
 
 /// Guards against a decision module that never learns of slow messages, since the socket protocols don't
-/// state them: one member that stayed overloaded cost half the score of a calm day.
+/// state them: one member that stayed overloaded cost half of the value served on a calm day.
 #[test]
 fn members_that_hold_connections_are_probed_for_their_message_delay() {
     let mut harness = Harness::one_of(&["a"], 2);
@@ -307,12 +311,12 @@
     let probes = |harness: &Harness| {
         harness.driver_commands.iter().filter(|(_, o)| matches!(o, DriverCommand::Probe { .. })).count()
     };
-    assert_eq!(probes(&harness), 0, "no connection there, nothing to ask");
-    let id = harness.open(ask());
+    assert_eq!(probes(&harness), 0, "without a connection there is no probe");
+    let id = harness.open(request());
     harness.on_front_event(id, FrontEvent::Connected);
     harness.on_front_event(id, FrontEvent::Up);
     harness.run(10_000.0);
-    assert_eq!(probes(&harness), 1, "one probe is out at a time");
+    assert_eq!(probes(&harness), 1, "one probe is in flight at a time");
     let Some((_, DriverCommand::Probe { member, .. })) =
         harness.driver_commands.iter().find(|(_, o)| matches!(o, DriverCommand::Probe { .. })).cloned()
     else {
@@ -337,7 +341,7 @@
     site.settings.probing = false;
     let broker = Broker::new(0.0, &site, 7, list(true, vec![member("a", Phase::Serving)]));
     let mut harness = Harness { broker, now: 0.0, driver_commands: Vec::new() };
-    let id = harness.open(ask());
+    let id = harness.open(request());
     harness.on_front_event(id, FrontEvent::Connected);
     harness.on_front_event(id, FrontEvent::Up);
     harness.run(20_000.0);
@@ -353,7 +357,7 @@
 #[test]
 fn a_negotiation_whose_output_reached_the_client_gets_the_full_deadline() {
     let mut harness = Harness::new(&["a", "b"]);
-    let id = harness.open(ClientRequest { negotiates: true, ..ask() });
+    let id = harness.open(ClientRequest { negotiates: true, ..request() });
     harness.on_front_event(id, FrontEvent::Connected);
     harness.on_front_event(id, FrontEvent::Committed);
     harness.run(990.0);
@@ -366,7 +370,7 @@
 #[test]
 fn a_silent_member_is_replaced_before_the_deadline() {
     let mut harness = Harness::new(&["a", "b"]);
-    let id = harness.open(ask());
+    let id = harness.open(request());
     harness.on_front_event(id, FrontEvent::Connected);
     harness.run(450.0);
     let commands = harness.commands(id);
@@ -383,7 +387,7 @@
 #[test]
 fn a_duplicate_name_fails_at_once_and_reaches_no_member() {
     let mut harness = Harness::new(&["a", "b"]);
-    let named = |name: &str| ClientRequest { name: Some(name.into()), ..ask() };
+    let named = |name: &str| ClientRequest { name: Some(name.into()), ..request() };
     let first = harness.open(named("x"));
     harness.on_front_event(first, FrontEvent::Connected);
     harness.on_front_event(first, FrontEvent::Up);
@@ -405,7 +409,7 @@
     let mut harness = Harness::new(&["a", "b"]);
     let ids: Vec<_> = (0..40)
         .map(|_| {
-            let id = harness.open(ClientRequest { grace_ms: 60_000.0, ..ask() });
+            let id = harness.open(ClientRequest { grace_ms: 60_000.0, ..request() });
             harness.on_front_event(id, FrontEvent::Connected);
             harness.on_front_event(id, FrontEvent::Up);
             id
@@ -415,7 +419,7 @@
     harness.run(1_900.0);
     let moved =
         |harness: &Harness| ids.iter().filter(|id| harness.commands(**id).contains(&Command::Move)).count();
-    assert_eq!(moved(&harness), 0, "what a client has is kept as long as the end allows");
+    assert_eq!(moved(&harness), 0, "connections are kept as long as the shutdown allows");
     harness.run(2_550.0);
     assert!((15..=25).contains(&moved(&harness)), "{}", moved(&harness));
     harness.run(3_200.0);
@@ -435,22 +439,22 @@
         let mut harness = Harness { broker, now: 0.0, driver_commands: Vec::new() };
         let established: Vec<_> = (0..20)
             .map(|_| {
-                let id = harness.open(ClientRequest { grace_ms: longest, ..ask() });
+                let id = harness.open(ClientRequest { grace_ms: longest, ..request() });
                 harness.on_front_event(id, FrontEvent::Connected);
                 harness.on_front_event(id, FrontEvent::Up);
                 id
             })
             .collect();
         // One client waits at a silent member, another arrives after the shutdown began.
-        let silent = harness.open(ClientRequest { grace_ms: longest, ..ask() });
+        let silent = harness.open(ClientRequest { grace_ms: longest, ..request() });
         harness.on_front_event(silent, FrontEvent::Connected);
         harness.on_front_event(silent, FrontEvent::Sent);
-        let over = harness.broker.leave(harness.now);
+        let exit_by = harness.broker.leave(harness.now);
         harness.run(300.0);
-        let late = harness.open(ClientRequest { grace_ms: longest, ..ask() });
+        let late = harness.open(ClientRequest { grace_ms: longest, ..request() });
         harness.on_front_event(late, FrontEvent::Connected);
-        harness.run(over);
-        assert!(over < kill);
+        harness.run(exit_by);
+        assert!(exit_by < kill);
         let at = |id: TransactionId| {
             let last = |o: &DriverCommand| matches!(o, DriverCommand::Front(to, c) if *to == id && !matches!(c, Command::Open { .. } | Command::Abandon));
             harness.driver_commands.iter().filter(|(_, o)| last(o)).map(|(at, _)| *at).collect::<Vec<_>>()
@@ -473,7 +477,7 @@
     let mut harness = Harness::new(&["a"]);
     let ids: Vec<_> = (0..20)
         .map(|_| {
-            let id = harness.open(ClientRequest { grace_ms: 60_000.0, ..ask() });
+            let id = harness.open(ClientRequest { grace_ms: 60_000.0, ..request() });
             harness.on_front_event(id, FrontEvent::Connected);
             harness.on_front_event(id, FrontEvent::Up);
             id
@@ -530,14 +534,17 @@
     let mut harness = Harness::one_of(&names, 900);
     let established: Vec<_> = names.iter().step_by(16).collect();
     for name in &established {
-        let id =
-            harness.open(ClientRequest { adopted: Some((**name).to_owned()), grace_ms: 40_000.0, ..ask() });
+        let id = harness.open(ClientRequest {
+            adopted: Some((**name).to_owned()),
+            grace_ms: 40_000.0,
+            ..request()
+        });
         harness.on_front_event(id, FrontEvent::Connected);
         harness.on_front_event(id, FrontEvent::Up);
     }
     harness.run(5_000.0);
     let out = harness.broker.probing.in_flight.len();
-    assert!((1..=32).contains(&out), "{out} members asked, {} hold connections", established.len());
+    assert!((1..=32).contains(&out), "{out} members probed, {} hold connections", established.len());
     // No probe is answered: the same members stay probed, and no new connection is made.
     harness.run(9_000.0);
     assert_eq!(harness.broker.probing.in_flight.len(), out);
--- a/src/broker/timers.rs
+++ b/src/broker/timers.rs
@@ -7,6 +7,7 @@
 /// Pending timers, earliest first; equal times in the order in which they were set.
 pub(super) struct Timers<T> {
     heap: BinaryHeap<Reverse<Timer<T>>>,
+    /// Number of timers set so far; orders those of equal time.
     set: u64,
 }
 
