--- a/src/broker/adoption.rs
+++ b/src/broker/adoption.rs
@@ -58,6 +58,7 @@
 }
 
 impl Broker {
+    /// Returns what the current list says of the member that holds the connection.
     fn holder_status(&self, now: Millis, t: &Transaction, adoption: &Adoption) -> HolderStatus {
         if let Some(member) = self.pool.find(&adoption.holder) {
             return HolderStatus::Listed(member);
--- a/src/broker/flows.rs
+++ b/src/broker/flows.rs
@@ -6,6 +6,7 @@
 use super::*;
 
 impl Broker {
+    /// Starts, parks or denies an attempt that the decision module asks for.
     pub(super) fn attempt(&mut self, now: Millis, id: TransactionId, member: BackendId, timeout_ms: Millis) {
         match self.permit(now, id, member, timeout_ms) {
             Ok(permit) => self.open(now, permit, self.connect_ms),
@@ -46,6 +47,7 @@
         }
     }
 
+    /// Reports a parked attempt to the module as not sent, so that it selects a member again.
     pub(super) fn reselect_member(&mut self, now: Millis, id: TransactionId) {
         let Some(backend) = self.parked.remove(&id) else { return };
         let Some(t) = self.transactions.get(&id).filter(|t| t.stage == Stage::Waiting) else { return };
@@ -59,7 +61,7 @@
         let Some(dial) = self.pool.dial(member) else { return };
         let name = self.pool.name(member);
         let Some(t) = self.transactions.get_mut(&id) else { return };
-        t.stage = Stage::Attempting { connected: false };
+        t.stage = Stage::InFlight { connected: false };
         t.written = false;
         t.flows += 1;
         t.attempt_started_at = now;
@@ -80,6 +82,7 @@
             .push_back(DriverCommand::Front(id, Command::Open { dial, member: name, wait_ms }));
     }
 
+    /// Records the end of a flow and finishes it.
     pub(super) fn flow_ended(
         &mut self,
         now: Millis,
@@ -147,7 +150,7 @@
                 if t.adoption.is_some() { self.pool.listed(member) } else { self.pool.serving(member) }
             };
             let serving = t.member.is_some_and(may_stay);
-            matches!(t.stage, Stage::Attempting { .. }) && (t.negotiates || !t.written) && !serving
+            matches!(t.stage, Stage::InFlight { .. }) && (t.negotiates || !t.written) && !serving
         };
         let ids: Vec<_> = self
             .transactions
@@ -169,7 +172,7 @@
     /// Whether this flow of the transaction is still being attempted, and if so whether it is connected.
     pub(super) fn attempt_connected(&self, id: TransactionId, flow: u32) -> Option<bool> {
         match self.transactions.get(&id) {
-            Some(Transaction { stage: Stage::Attempting { connected }, flows, .. }) if *flows == flow => {
+            Some(Transaction { stage: Stage::InFlight { connected }, flows, .. }) if *flows == flow => {
                 Some(*connected)
             }
             _ => None,
@@ -190,6 +193,7 @@
         }
     }
 
+    /// Closes the current flow and finishes it with this outcome.
     pub(super) fn abort_flow(&mut self, now: Millis, id: TransactionId, outcome: Outcome) {
         self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
         self.flow_ended(now, id, outcome, None);
--- a/src/broker/leaving/tests.rs
+++ b/src/broker/leaving/tests.rs
@@ -14,7 +14,8 @@
 fn calls() -> impl Strategy<Value = Vec<Call>> {
     use Call::*;
     let one = prop_oneof![
-        1 => Just(Drain), 1 => Just(Resume), 1 => Just(End), 6 => Just(Connect), 2 => Just(Leave), 20 => Just(Wait)
+        1 => Just(Drain), 1 => Just(Resume), 1 => Just(End), 6 => Just(Connect),
+        2 => Just(Leave), 20 => Just(Wait)
     ];
     prop::collection::vec(one, 1..400)
 }
@@ -25,7 +26,7 @@
     /// For any order of calls: no client is moved while the node stays, none is left after the allowed time
     /// of a drain or shutdown, and one in progress is not started again.
     #[test]
-    fn no_client_moves_while_the_node_stays_and_none_is_left_in_the_end(calls in calls(), longest in 0.0..8_000.0) {
+    fn clients_move_only_while_the_node_leaves_and_none_is_left(calls in calls(), longest in 0.0..8_000.0) {
         let (mut leaving, mut now, mut established) = (Leaving::No, 0.0, 0usize);
         let shutdown_times = ShutdownTimes::new(longest);
         let mut since: Option<(Millis, Millis)> = None;
@@ -56,7 +57,9 @@
                 prop_assert!(due.unwrap_or(0) <= established);
                 established -= due.unwrap_or(0);
             }
-            if let Some((_, within)) = since.filter(|(from, within)| matches!(call, Call::Wait) && now > from + within) {
+            if let Some((_, within)) =
+                since.filter(|(from, within)| matches!(call, Call::Wait) && now > from + within)
+            {
                 prop_assert_eq!(established, 0, "{} ms after the call", within);
             }
             prop_assert_eq!(leaving.takes_clients(), since.is_none_or(|(_, within)| within != 4_000.0));
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -52,7 +52,7 @@
     /// No flow is open.
     Waiting,
     /// A flow is open and waits for its connection or for its answer.
-    Attempting { connected: bool },
+    InFlight { connected: bool },
     /// The member serves the client's connection.
     Established,
 }
@@ -413,14 +413,14 @@
             FrontEvent::ClientError(error) => count_client_error(&mut self.counters, error),
             FrontEvent::Connected => {
                 if let Some(t) = self.transactions.get_mut(&id)
-                    && matches!(t.stage, Stage::Attempting { .. })
+                    && matches!(t.stage, Stage::InFlight { .. })
                 {
-                    t.stage = Stage::Attempting { connected: true };
+                    t.stage = Stage::InFlight { connected: true };
                 }
             }
             FrontEvent::Sent => {
                 if let Some(t) = self.transactions.get_mut(&id)
-                    && matches!(t.stage, Stage::Attempting { .. })
+                    && matches!(t.stage, Stage::InFlight { .. })
                     && !std::mem::replace(&mut t.written, true)
                 {
                     t.attempts += 1;
@@ -469,7 +469,7 @@
         match action {
             Action::Attempt { id, backend, timeout_ms } => self.attempt(now, id, backend, timeout_ms),
             Action::CancelAttempt { id, .. } => {
-                if matches!(self.transactions.get(&id), Some(t) if matches!(t.stage, Stage::Attempting { .. }))
+                if matches!(self.transactions.get(&id), Some(t) if matches!(t.stage, Stage::InFlight { .. }))
                 {
                     self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
                     self.flow_ended(now, id, Outcome::Cancelled, None);
--- a/src/broker/moves.rs
+++ b/src/broker/moves.rs
@@ -98,12 +98,14 @@
         self.feed(now, Event::ShuttingDown { by });
     }
 
+    /// Sets the timer of the next leave step, unless it is set.
     fn schedule_leave_step(&mut self, now: Millis) {
         if !std::mem::replace(&mut self.step_scheduled, true) {
             self.timers.set(now + MOVE_STEP_MS, Due::LeaveStep);
         }
     }
 
+    /// Moves the next clients of a drain or shutdown of this node.
     pub(super) fn leave_step(&mut self, now: Millis) {
         let established = self.transactions.values().filter(|t| t.stage == Stage::Established).count();
         self.step_scheduled = match self.leaving.moves_due(now, established) {
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Broker {
+    /// Opens a transaction for a client's request.
     pub(super) fn on_client_request(
         &mut self,
         now: Millis,
@@ -82,8 +83,9 @@
         }
     }
 
+    /// Handles a flow whose member now serves the client.
     pub(super) fn on_established(&mut self, now: Millis, id: TransactionId) {
-        let Some(t) = self.transactions.get_mut(&id).filter(|t| matches!(t.stage, Stage::Attempting { .. }))
+        let Some(t) = self.transactions.get_mut(&id).filter(|t| matches!(t.stage, Stage::InFlight { .. }))
         else {
             return;
         };
@@ -104,6 +106,7 @@
         }
     }
 
+    /// Ends the transaction of a client that has left.
     pub(super) fn on_client_left(&mut self, now: Millis, id: TransactionId) {
         self.readiness_checks.retain(|waiting| *waiting != id);
         let Some(t) = self.transactions.get(&id) else { return };
@@ -123,7 +126,7 @@
         }
         let Some(t) = self.forget(id) else { return };
         self.record_answer(now, &t, record::Answer::Left);
-        if let (true, Stage::Attempting { .. }, Some(backend)) = (module_knows, stage, t.member) {
+        if let (true, Stage::InFlight { .. }, Some(backend)) = (module_knows, stage, t.member) {
             let attempt = t.flows.saturating_sub(1);
             let outcome = Outcome::Cancelled;
             self.feed(now, Event::Ended { id, attempt, backend, outcome, closed: true, report: None });
--- a/src/broker/tests.rs
+++ b/src/broker/tests.rs
@@ -135,14 +135,14 @@
     let id = harness.open(ClientRequest { grace_ms: 60_000.0, ..request() });
     harness.run(59_000.0);
     let commands = harness.commands(id);
-    let mut out = 0;
+    let mut open_flows = 0;
     for command in &commands {
         match command {
-            Command::Open { .. } => out += 1,
-            Command::Abandon => out -= 1,
+            Command::Open { .. } => open_flows += 1,
+            Command::Abandon => open_flows -= 1,
             _ => {}
         }
-        assert!((0..=1).contains(&out), "{commands:?}");
+        assert!((0..=1).contains(&open_flows), "{commands:?}");
     }
     // No flow ever got its connection.
     assert!((2..=6).contains(&opened(&commands).len()), "{commands:?}");
@@ -456,7 +456,10 @@
         harness.run(exit_by);
         assert!(exit_by < kill);
         let at = |id: TransactionId| {
-            let last = |o: &DriverCommand| matches!(o, DriverCommand::Front(to, c) if *to == id && !matches!(c, Command::Open { .. } | Command::Abandon));
+            let last = |o: &DriverCommand| {
+                matches!(o, DriverCommand::Front(to, c)
+                    if *to == id && !matches!(c, Command::Open { .. } | Command::Abandon))
+            };
             harness.driver_commands.iter().filter(|(_, o)| last(o)).map(|(at, _)| *at).collect::<Vec<_>>()
         };
         for id in established.into_iter().chain([silent, late]) {
@@ -501,8 +504,8 @@
         let mut harness = Harness::one_of(&["a", "b", "c"], nodes);
         for at in 1..200 {
             harness.run(f64::from(at) * 100.0);
-            let asked: Vec<_> = harness.broker.probing.in_flight.keys().copied().collect();
-            for member in asked {
+            let waiting: Vec<_> = harness.broker.probing.in_flight.keys().copied().collect();
+            for member in waiting {
                 harness.broker.probed(harness.now, member, Outcome::Ok, None, Some(1.0));
             }
         }
@@ -543,11 +546,15 @@
         harness.on_front_event(id, FrontEvent::Up);
     }
     harness.run(5_000.0);
-    let out = harness.broker.probing.in_flight.len();
-    assert!((1..=32).contains(&out), "{out} members probed, {} hold connections", established.len());
+    let probe_count = harness.broker.probing.in_flight.len();
+    assert!(
+        (1..=32).contains(&probe_count),
+        "{probe_count} members probed, {} hold connections",
+        established.len()
+    );
     // No probe is answered: the same members stay probed, and no new connection is made.
     harness.run(9_000.0);
-    assert_eq!(harness.broker.probing.in_flight.len(), out);
+    assert_eq!(harness.broker.probing.in_flight.len(), probe_count);
 }
 
 /// Guards against a report that shows a shutdown where the node was drained and then served again.
