--- a/src/api.rs
+++ b/src/api.rs
@@ -221,7 +221,7 @@
     }
 
     /// First calls to discovery are spread over this.
-    pub fn first_ask_ms(&self) -> Millis {
+    pub fn first_call_spread_ms(&self) -> Millis {
         (f64::from(self.balancers) * 50.0).min(self.ask_within_ms / 2.0)
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// One gateway's part of the new connections in a millisecond that all tenants may ask for inside their shares.
-    pub fn rate_part(&self) -> Option<f64> {
+    pub fn quota_rate_per_node(&self) -> Option<f64> {
         let all: f64 = self.tenants.iter().map(|tenant| tenant.quota_rate).sum();
         (all > 0.0).then(|| all / 1_000.0 / f64::from(self.balancers.max(1)))
     }
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -13,7 +13,7 @@
 use crate::api::*;
 pub use crate::state::Balancer;
 use crate::state::*;
-use discovery::ASK_BACKOFF_MS;
+use discovery::DISCOVERY_BACKOFF_MS;
 pub(crate) use slow_start::SlowStart;
 
 /// Budgets, limits and weights are recomputed this often: short against the life of a connection.
@@ -28,7 +28,7 @@
             rng: seed,
             salt: mix(seed),
             class_work,
-            ask_backoff: ASK_BACKOFF_MS,
+            discovery_backoff: DISCOVERY_BACKOFF_MS,
             ..Default::default()
         }
     }
@@ -39,33 +39,33 @@
             self.start(now, out);
         }
         match event {
-            Event::Backends { scope, entries } => self.listed(now, scope, entries, out),
+            Event::Backends { scope, entries } => self.list_received(now, scope, entries, out),
             Event::DiscoveryFailed => self.discovery_failed(now, out),
             Event::Request(request) => self.arrived(now, request, out),
             Event::Adopted { request, backend } => self.adopted(now, request, backend),
             Event::Established { id, .. } => self.established(now, id),
             Event::Ended { id, backend, outcome, closed, report, .. } => {
-                self.reported(now, backend, report);
+                self.record_report(now, backend, report);
                 self.ended(now, id, backend, outcome, closed, out)
             }
             Event::ProbeEnded { backend, outcome, report } => {
-                self.reported(now, backend, report);
-                self.judge(now, backend, outcome, false)
+                self.record_report(now, backend, report);
+                self.record_outcome(now, backend, outcome, false)
             }
             Event::Departed { id } => self.departed(id, out),
             Event::LoadChanged { id, load } => self.load_changed(id, load),
             Event::MessageDelay { backend, took_ms } => self.message_delay(now, backend, took_ms),
             Event::PeerMessage { .. } => {}
             Event::Sharing(nodes) => self.settings.balancers = nodes,
-            Event::Ending { by } => self.hasten(by, out),
+            Event::Ending { by } => self.shorten_deadlines(by, out),
             Event::Timer(TimerId(TIMER_INTERVAL)) => self.interval(now, out),
             Event::Timer(TimerId(TIMER_PROBE)) => self.probe(now, out),
-            Event::Timer(TimerId(TIMER_DISCOVERY)) => self.ask(now, out),
-            Event::Timer(id) => self.held_timer(now, id, out),
+            Event::Timer(TimerId(TIMER_DISCOVERY)) => self.ask_discovery(now, out),
+            Event::Timer(id) => self.request_timer(now, id, out),
         }
     }
 
-    fn start(&mut self, now: Millis, out: &mut Out) {
+    fn start(&mut self, now: Millis, out: &mut Actions) {
         self.started = Some(now);
         let mut timer = |wait: f64, id| out.push(Action::SetTimer { at: now + wait, id: TimerId(id) });
         timer(draw(&mut self.rng) * INTERVAL_MS, TIMER_INTERVAL);
@@ -74,17 +74,17 @@
         }
         if self.settings.discovery_on_request {
             // All gateways may have started together: their first calls are spread out.
-            timer(draw(&mut self.rng) * self.settings.first_ask_ms(), TIMER_DISCOVERY);
+            timer(draw(&mut self.rng) * self.settings.first_call_spread_ms(), TIMER_DISCOVERY);
         }
     }
 
-    fn interval(&mut self, now: Millis, out: &mut Out) {
+    fn interval(&mut self, now: Millis, out: &mut Actions) {
         out.push(Action::SetTimer { at: now + INTERVAL_MS, id: TimerId(TIMER_INTERVAL) });
-        self.forecast(now);
-        self.learn(now);
-        self.weigh(now);
-        self.budget(now);
-        self.relieve(now, out);
+        self.forecast_demand(now);
+        self.learn_capacity(now);
+        self.update_weights(now);
+        self.assign_budgets(now);
+        self.relieve_overload(now, out);
         self.release_all(now, out);
     }
 }
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -1,47 +1,48 @@
 //! Which backend a request is sent to, by weighted round robin among those that may be sent to.
 
-use super::budget::TARGET;
-use super::health::{BUSY, FULL_PAUSE_MS};
+use super::budget::TARGET_LOAD;
+use super::health::{BUSY_LOAD, FULL_PAUSE_MS};
 use super::slow_start::warmth_at;
 use crate::api::*;
 use crate::state::*;
 use std::collections::BTreeSet;
 
 /// Most load over capacity that one connection is taken to bring.
-const UNIT_MOST: f64 = 0.1;
+const MAX_CONNECTION_LOAD: f64 = 0.1;
 /// Group and zone preference act among backends so many turns early and under this load over capacity. No
 /// closer: each backend over which a group is spread carries the group's work once more.
-const NEAR_TURNS: f64 = 8.0;
+const AFFINITY_TURNS: f64 = 8.0;
 /// A loaded backend keeps this part of its weight: so it still shows whether it has recovered.
-const LEAST_ROOM: f64 = 0.05;
+const MIN_ROOM: f64 = 0.05;
 /// Part of the time left that one attempt may take, and the least such time.
-const WAIT_PART: f64 = 0.4;
-const WAIT_LEAST_MS: Millis = 250.0;
+const ATTEMPT_TIME_SHARE: f64 = 0.4;
+const MIN_ATTEMPT_TIMEOUT_MS: Millis = 250.0;
 
 impl Balancer {
     /// Weights for the coming interval: listed weight, part warmed up, room left.
-    pub(super) fn weigh(&mut self, now: Millis) {
-        let size: f64 = self.servers.values().map(Server::size).sum();
-        let work = self.servers.values().map(|s| s.work).sum::<f64>() / size.max(f64::MIN_POSITIVE);
-        for server in self.servers.values_mut() {
+    pub(super) fn update_weights(&mut self, now: Millis) {
+        let size: f64 = self.backends.values().map(BackendRecord::size).sum();
+        let work = self.backends.values().map(|s| s.work).sum::<f64>() / size.max(f64::MIN_POSITIVE);
+        for record in self.backends.values_mut() {
             // Stale word of one backend fades into the mean of all.
-            let room = match (server.told(now), self.mean_load) {
+            let room = match (record.load_estimate(now), self.mean_load) {
                 (Some((load, fresh)), Some(mean)) => 1.0 - (mean + (load - mean) * fresh),
                 (Some((load, _)), None) | (None, Some(load)) => 1.0 - load,
-                (None, None) if work > 0.0 => 1.0 - server.work / server.size() / work / 2.0,
+                (None, None) if work > 0.0 => 1.0 - record.work / record.size() / work / 2.0,
                 (None, None) => 1.0,
             };
-            let room = room.min(1.0 - server.peak);
-            let warmth = warmth_at(server.age.at(now), &self.settings);
-            server.capacity = server.size() * warmth;
-            server.unit = (TARGET / (self.per_weight * server.capacity)).clamp(0.0, UNIT_MOST);
-            let weight = (server.capacity * room.max(LEAST_ROOM)).max(1e-9);
+            let room = room.min(1.0 - record.peak_load);
+            let warmth = warmth_at(record.age.at(now), &self.settings);
+            record.capacity = record.size() * warmth;
+            record.connection_load =
+                (TARGET_LOAD / (self.capacity_per_weight * record.capacity)).clamp(0.0, MAX_CONNECTION_LOAD);
+            let weight = (record.capacity * room.max(MIN_ROOM)).max(1e-9);
             // A turn taken at a small weight must not keep a backend out long after it has recovered. The
             // first is drawn by weight too; that of a cold backend is held by the gate.
-            let known = if server.weight > 0.0 { (server.weight / weight).min(1.0) } else { 1.0 / weight };
-            let scale = if server.weight > 0.0 || warmth >= 1.0 { known } else { 1.0 };
-            server.turn = self.turn + (server.turn - self.turn).max(0.0) * scale;
-            server.weight = weight;
+            let known = if record.weight > 0.0 { (record.weight / weight).min(1.0) } else { 1.0 / weight };
+            let scale = if record.weight > 0.0 || warmth >= 1.0 { known } else { 1.0 };
+            record.next_turn = self.virtual_time + (record.next_turn - self.virtual_time).max(0.0) * scale;
+            record.weight = weight;
         }
     }
 
@@ -54,25 +55,27 @@
         let entry = self.entries.get(&id)?;
         let by_key = if self.settings.mode == Mode::Pass { entry.request.key } else { None };
         let affinity = entry.request.group.or(by_key);
-        let kin = self.kin(entry.request.group);
+        let group_backends = self.group_backends(entry.request.group);
         // A group has no one place where none is warm: all of it would wait for one backend in slow start.
         let spread = !self.any_warm(now);
         let key = affinity.filter(|_| !spread).map_or(mix(self.salt ^ id.0), |key| key.0);
-        if entry.state == State::Held {
-            self.slow_start.came(key);
+        if entry.state == State::Queued {
+            self.slow_start.observe_key(key);
         }
         self.slow_start.begin_choice(now, self.settings.fall_ms);
         let mut chance_left = true;
         for careful in [true, false] {
             self.mark_ready(now, id, careful);
-            let cold = self.place_in_slow_start(now, key, &kin).filter(|_| std::mem::take(&mut chance_left));
+            let cold = self
+                .place_in_slow_start(now, key, &group_backends)
+                .filter(|_| std::mem::take(&mut chance_left));
             if let Some(cold) = cold
                 && draw(&mut self.rng) < self.slow_start_chance(now, cold)
             {
                 return Some(self.take_turn(cold));
             }
             self.leave_out_slow_start(now);
-            if let Some(backend) = self.next_ready(now, affinity.is_some(), key, &kin) {
+            if let Some(backend) = self.next_ready(now, affinity.is_some(), key, &group_backends) {
                 return Some(self.take_turn(backend));
             }
         }
@@ -83,25 +86,35 @@
     fn mark_ready(&mut self, now: Millis, id: RequestId, careful: bool) {
         let Some(entry) = self.entries.get(&id) else { return };
         let effect = self.settings.class(entry.request.class).effect;
-        for (backend, server) in &mut self.servers {
-            server.ready = server.info.phase == Phase::Serving
-                && (!careful || now >= server.avoid_until && !entry.tried.contains(backend))
-                && may_send(entry, effect, now, Some(&server.info));
+        for (backend, record) in &mut self.backends {
+            record.ready = record.info.phase == Phase::Serving
+                && (!careful || now >= record.avoid_until && !entry.tried.contains(backend))
+                && may_send(entry, effect, now, Some(&record.info));
         }
     }
 
     /// The backend in slow start that is the request's place among those that are ready, if it has its place at one. What a node
     /// prefers for the moment, by turns or load, must not lead there: the chance counts on places. They are by full size, so that a
     /// newcomer gets its groups bit by bit and not one after the other.
-    fn place_in_slow_start(&self, now: Millis, key: u64, kin: &BTreeSet<BackendId>) -> Option<BackendId> {
-        let ready = || self.servers.iter().filter(|(_, server)| server.ready);
-        if ready().any(|(id, server)| kin.contains(id) && !server.in_slow_start(now, &self.settings)) {
+    fn place_in_slow_start(
+        &self,
+        now: Millis,
+        key: u64,
+        group_backends: &BTreeSet<BackendId>,
+    ) -> Option<BackendId> {
+        let ready = || self.backends.iter().filter(|(_, record)| record.ready);
+        if ready()
+            .any(|(id, record)| group_backends.contains(id) && !record.in_slow_start(now, &self.settings))
+        {
             return None;
         }
-        let far = |server: &Server| server.info.zone != self.settings.zone;
-        let place = ready().min_by_key(|(id, server)| (far(server), place(key ^ id.0, server.size())));
-        let (id, server) = place.filter(|(_, server)| server.in_slow_start(now, &self.settings))?;
-        server.told(now).is_none_or(|(load, _)| load.max(server.peak) < BUSY).then_some(*id)
+        let other_zone = |record: &BackendRecord| record.info.zone != self.settings.zone;
+        let place = ready().min_by_key(|(id, record)| (other_zone(record), place(key ^ id.0, record.size())));
+        let (id, record) = place.filter(|(_, record)| record.in_slow_start(now, &self.settings))?;
+        record
+            .load_estimate(now)
+            .is_none_or(|(load, _)| load.max(record.peak_load) < BUSY_LOAD)
+            .then_some(*id)
     }
 
     /// The first of the backends that are ready.
@@ -110,46 +123,49 @@
         now: Millis,
         by_place: bool,
         key: u64,
-        kin: &BTreeSet<BackendId>,
+        group_backends: &BTreeSet<BackendId>,
     ) -> Option<BackendId> {
-        let ready = || self.servers.iter().filter(|(_, server)| server.ready);
-        let turn_of = |server: &Server| server.turn.max(self.turn);
-        let first = ready().map(|(_, server)| turn_of(server)).fold(f64::INFINITY, f64::min);
-        let next = ready().min_by_key(|&(&backend, server)| {
-            let turn = turn_of(server);
-            let near = (turn - first) * server.weight < NEAR_TURNS
-                && server.told(now).is_none_or(|(x0, _)| x0.max(server.peak) < BUSY);
-            let place = if by_place { place(key ^ backend.0, server.capacity) } else { 0 };
-            let far = server.info.zone != self.settings.zone;
-            (!near, near && !kin.contains(&backend), far, place, (turn * 1e6) as u64)
+        let ready = || self.backends.iter().filter(|(_, record)| record.ready);
+        let turn_of = |record: &BackendRecord| record.next_turn.max(self.virtual_time);
+        let first = ready().map(|(_, record)| turn_of(record)).fold(f64::INFINITY, f64::min);
+        let next = ready().min_by_key(|&(&backend, record)| {
+            let turn = turn_of(record);
+            let near = (turn - first) * record.weight < AFFINITY_TURNS
+                && record.load_estimate(now).is_none_or(|(x0, _)| x0.max(record.peak_load) < BUSY_LOAD);
+            let place = if by_place { place(key ^ backend.0, record.capacity) } else { 0 };
+            let other_zone = record.info.zone != self.settings.zone;
+            (!near, near && !group_backends.contains(&backend), other_zone, place, (turn * 1e6) as u64)
         })?;
         Some(*next.0)
     }
 
     /// Counts the turn of the backend that is sent to, from the earliest among those that are ready.
     fn take_turn(&mut self, backend: BackendId) -> BackendId {
-        let turns =
-            self.servers.values().filter(|server| server.ready).map(|server| server.turn.max(self.turn));
+        let turns = self
+            .backends
+            .values()
+            .filter(|record| record.ready)
+            .map(|record| record.next_turn.max(self.virtual_time));
         let first = turns.fold(f64::INFINITY, f64::min);
-        self.turn = first;
-        if let Some(server) = self.servers.get_mut(&backend) {
-            server.turn = server.turn.max(first) + 1.0 / server.weight;
+        self.virtual_time = first;
+        if let Some(record) = self.backends.get_mut(&backend) {
+            record.next_turn = record.next_turn.max(first) + 1.0 / record.weight;
         }
         backend
     }
 
     /// The request has had its one chance: of the backends in slow start none is ready for it any more.
     fn leave_out_slow_start(&mut self, now: Millis) {
-        for server in self.servers.values_mut() {
-            server.ready &= !server.in_slow_start(now, &self.settings);
+        for record in self.backends.values_mut() {
+            record.ready &= !record.in_slow_start(now, &self.settings);
         }
     }
 
-    pub(super) fn admit(&mut self, now: Millis, id: RequestId, out: &mut Out) {
+    pub(super) fn admit(&mut self, now: Millis, id: RequestId, out: &mut Actions) {
         let Some(entry) = self.entries.get(&id) else { return };
         let class = self.settings.class(entry.request.class);
         let left = entry.deadline - now - 2.0 * self.settings.tick_ms;
-        let spent = entry.tries >= self.settings.most_tries.max(1) || left <= 0.0;
+        let spent = entry.attempts >= self.settings.most_tries.max(1) || left <= 0.0;
         if spent || !may_send(entry, class.effect, now, None) {
             return self.finish(now, id, out);
         }
@@ -160,14 +176,15 @@
             let at = (now + FULL_PAUSE_MS / 2.0).min((entry.deadline - 4.0 * self.settings.tick_ms).max(now));
             return out.push(Action::SetTimer { at, id: TimerId(TIMER_REQUESTS + id.0) });
         };
-        (entry.state, entry.backend, entry.sent) = (State::Out, Some(backend), now);
-        entry.tries += 1;
+        (entry.state, entry.backend, entry.sent_at) = (State::InFlight, Some(backend), now);
+        entry.attempts += 1;
         entry.tried.push(backend);
         // One that takes work and answers nothing must not cost all the time that a client has, while there
         // is another to try.
-        let another = self.servers.iter().any(|(id, s)| s.usable(now) && !entry.tried.contains(id));
-        let wait = if another { (left * WAIT_PART).max(WAIT_LEAST_MS).min(left) } else { left };
-        self.occupy(id, 1);
+        let another = self.backends.iter().any(|(id, s)| s.usable(now) && !entry.tried.contains(id));
+        let wait =
+            if another { (left * ATTEMPT_TIME_SHARE).max(MIN_ATTEMPT_TIMEOUT_MS).min(left) } else { left };
+        self.account_connection(id, 1);
         out.push(Action::Attempt { id, backend, timeout_ms: wait });
     }
 }
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -4,27 +4,27 @@
 use crate::state::*;
 
 /// A request that so many backends answer with an error is itself at fault.
-const ERRORS_MOST: usize = 3;
+const MAX_ERROR_ANSWERS: usize = 3;
 
 impl Balancer {
     pub(super) fn adopted(&mut self, now: Millis, request: Request, backend: BackendId) {
-        self.settled = true; // no newcomer: it holds what is its own
+        self.has_adopted = true; // no newcomer: it holds what is its own
         self.enter(now, request, f64::INFINITY);
         if let Some(entry) = self.entries.get_mut(&request.id) {
-            (entry.state, entry.backend, entry.tries) = (State::Open, Some(backend), 1);
+            (entry.state, entry.backend, entry.attempts) = (State::Open, Some(backend), 1);
         }
-        self.occupy(request.id, 1);
+        self.account_connection(request.id, 1);
     }
 
     pub(super) fn established(&mut self, now: Millis, id: RequestId) {
-        let Some(entry) = self.entries.get_mut(&id).filter(|e| e.state == State::Out) else { return };
+        let Some(entry) = self.entries.get_mut(&id).filter(|e| e.state == State::InFlight) else { return };
         entry.state = State::Open;
-        let erred = std::mem::take(&mut entry.erred);
-        self.placed += 1.0; // attempts that fail say nothing of what a backend can take
-        let backend = entry.backend.and_then(|b| self.servers.get_mut(&b));
-        backend.into_iter().for_each(|server| server.alive(now));
+        let errored_on = std::mem::take(&mut entry.errored_on);
+        self.placed_in_interval += 1.0; // attempts that fail say nothing of what a backend can take
+        let backend = entry.backend.and_then(|b| self.backends.get_mut(&b));
+        backend.into_iter().for_each(|record| record.mark_answered(now));
         // What one backend serves and another answers with an error is that other's fault.
-        erred.into_iter().for_each(|backend| self.judge(now, backend, Outcome::Error, false));
+        errored_on.into_iter().for_each(|backend| self.record_outcome(now, backend, Outcome::Error, false));
     }
 
     pub(super) fn ended(
@@ -34,23 +34,23 @@
         at: BackendId,
         how: Outcome,
         over: bool,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
-        let Some(entry) = self.entries.get(&id).filter(|e| e.state >= State::Out) else { return };
-        let (tenant, left, stood) = (entry.request.tenant, entry.left, entry.state == State::Open);
-        self.occupy(id, -1);
+        let Some(entry) = self.entries.get(&id).filter(|e| e.state >= State::InFlight) else { return };
+        let (tenant, left, stood) = (entry.request.tenant, entry.client_left, entry.state == State::Open);
+        self.account_connection(id, -1);
         // An error may be the request's own fault: nobody is blamed until another backend serves it.
         let error = how == Outcome::Error && !stood;
         if !error {
-            self.judge(now, at, how, stood);
+            self.record_outcome(now, at, how, stood);
         }
-        let info = self.servers.get(&at).map(|s| s.info);
+        let info = self.backends.get(&at).map(|s| s.info);
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.backend = None;
-        entry.erred.extend(error.then_some(at));
-        let hopeless = entry.erred.len() >= ERRORS_MOST;
+        entry.errored_on.extend(error.then_some(at));
+        let hopeless = entry.errored_on.len() >= MAX_ERROR_ANSWERS;
         if !matches!(how, Outcome::Full | Outcome::Unreachable | Outcome::NotSent) {
-            entry.may_have_run = entry.may_have_run.or(info.map(|info| (info, entry.sent)));
+            entry.may_have_run = entry.may_have_run.or(info.map(|info| (info, entry.sent_at)));
         }
         if over || left {
             self.entries.remove(&id);
@@ -62,24 +62,24 @@
         self.release(now, tenant, out);
     }
 
-    pub(super) fn departed(&mut self, id: RequestId, out: &mut Out) {
+    pub(super) fn departed(&mut self, id: RequestId, out: &mut Actions) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        entry.left = true;
-        if entry.state < State::Out {
+        entry.client_left = true;
+        if entry.state < State::InFlight {
             self.entries.remove(&id); // its queue drops ids without an entry when their turn comes
-        } else if entry.state == State::Out && self.settings.cancel {
-            out.push(Action::CancelAttempt { id, attempt: entry.tries.saturating_sub(1) });
+        } else if entry.state == State::InFlight && self.settings.cancel {
+            out.push(Action::CancelAttempt { id, attempt: entry.attempts.saturating_sub(1) });
         }
     }
 
     /// The final answer for a request that is not out: refused where that is harmless, else failed.
-    pub(super) fn finish(&mut self, now: Millis, id: RequestId, out: &mut Out) {
+    pub(super) fn finish(&mut self, now: Millis, id: RequestId, out: &mut Actions) {
         let Some(entry) = self.entries.remove(&id) else { return };
         let effect = self.settings.class(entry.request.class).effect;
         let harmless = entry.may_have_run.is_none()
             || matches!(effect, Effect::Free | Effect::Guarded { within: RepeatGroup::All, .. });
-        if let Some(share) = self.tenants.get_mut(&entry.request.tenant) {
-            (share.refused, share.seen) = (share.refused + entry.request.load(), now);
+        if let Some(account) = self.tenants.get_mut(&entry.request.tenant) {
+            (account.refused, account.last_active) = (account.refused + entry.request.load(), now);
         }
         let retry_after_ms = self.settings.max_retry_after_ms * (0.2 + 0.8 * draw(&mut self.rng));
         out.push(if harmless { Action::Refuse { id, retry_after_ms } } else { Action::Fail { id } });
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,7 +1,7 @@
 //! What the decision module holds and believes, to be looked at: nothing here decides or changes anything.
 
 use crate::api::*;
-use crate::state::{Balancer, Share};
+use crate::state::{Balancer, TenantAccount};
 
 /// What the module holds of one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -46,32 +46,32 @@
 impl Balancer {
     /// What is held of the members that are listed or hold connections.
     pub fn member_views(&self, now: Millis) -> impl Iterator<Item = MemberView> + '_ {
-        self.servers.iter().map(move |(&member, server)| MemberView {
+        self.backends.iter().map(move |(&member, record)| MemberView {
             member,
-            open: server.open,
-            report: server.report.map(|(load, at)| (load, now - at)),
-            trouble: server.peak,
-            weight: server.weight / server.size(),
-            warmth: server.capacity / server.size(),
-            avoided_ms: (server.avoid_until - now).max(0.0),
-            fails: server.fails,
+            open: record.open,
+            report: record.report.map(|(load, at)| (load, now - at)),
+            trouble: record.peak_load,
+            weight: record.weight / record.size(),
+            warmth: record.capacity / record.size(),
+            avoided_ms: (record.avoid_until - now).max(0.0),
+            fails: record.failures,
         })
     }
 
     /// The tenants that have been heard of.
     pub fn tenant_views(&self) -> impl Iterator<Item = TenantView> + '_ {
-        self.tenants.iter().map(|(&tenant, share)| TenantView {
+        self.tenants.iter().map(|(&tenant, account)| TenantView {
             tenant,
-            demand: share.last,
-            forecast: share.forecast,
-            budget: share.budget,
-            limit: limit(share),
-            open: share.open,
-            queued: share.queue.len(),
+            demand: account.demand,
+            forecast: account.forecast,
+            budget: account.budget,
+            limit: limit(account),
+            open: account.open,
+            queued: account.queue.len(),
         })
     }
 }
 
-fn limit(share: &Share) -> f64 {
-    if share.least_load > 0.0 { (share.budget / share.least_load).round().max(1.0) } else { 0.0 }
+fn limit(account: &TenantAccount) -> f64 {
+    if account.least_load > 0.0 { (account.budget / account.least_load).round().max(1.0) } else { 0.0 }
 }
