--- a/src/agreed.rs
+++ b/src/agreed.rs
@@ -1,21 +1,21 @@
-//! How the view of the fleet is told to those who agree on drains.
+//! Converts the membership view into the node list that drain agreement works with.
 
 use hopmoor_agree::{SeenNode, Standing};
 use hopmoor_fleet::{Ready, Seen, State, View};
 
-/// The nodes as the log has them.
+/// Returns the nodes of the view as entries for the replicated log.
 pub fn seen(view: &View) -> Vec<SeenNode> {
-    let seen = view.members.iter().map(|seen| SeenNode {
-        name: seen.id.name.to_string(),
-        zone: seen.said.as_ref().map(|said| said.zone.clone()).unwrap_or_default(),
-        incarnation: seen.id.incarnation,
-        standing: standing(seen),
+    let nodes = view.members.iter().map(|node| SeenNode {
+        name: node.id.name.to_string(),
+        zone: node.said.as_ref().map(|said| said.zone.clone()).unwrap_or_default(),
+        incarnation: node.id.incarnation,
+        standing: standing(node),
     });
-    seen.collect()
+    nodes.collect()
 }
 
-fn standing(seen: &Seen) -> Standing {
-    match (seen.state, seen.said.as_ref().map(|said| said.ready)) {
+fn standing(node: &Seen) -> Standing {
+    match (node.state, node.said.as_ref().map(|said| said.ready)) {
         (State::Dead, _) => Standing::Dead,
         (State::Left, _) | (_, Some(Ready::Left)) => Standing::Left,
         (_, Some(Ready::Serving)) => Standing::Serving,
--- a/src/logic/budget.rs
+++ b/src/logic/budget.rs
@@ -1,47 +1,55 @@
-//! Forecast of each tenant's demand, learned capacity, and budgets.
+//! Demand forecasts, learned capacity and budgets, recomputed once an interval.
+//!
+//! Loads and budgets count connections weighted by their load hints, relative to the usual hint. A "load over
+//! capacity" is a ratio: 1.0 is a backend that is asked for exactly what it can do.
 
 use super::INTERVAL_MS;
 use super::health::{BUSY_LOAD, REPORT_DECAY_MS};
 use crate::api::*;
 use crate::state::*;
 
-/// Forecast: part of the newest change in the smoothed ones, and the paper's cushion in mean rises.
+/// Weight of the newest change of demand in the exponentially smoothed change and rise.
 const FORECAST_SMOOTHING: f64 = 0.3;
+/// Safety margin that the paper (see the crate documentation) adds to a forecast, in mean rises of demand.
 const FORECAST_CUSHION: f64 = 5.0 / 3.0;
-/// A tenant heard of within this time keeps its guarantee.
+/// A tenant with demand within this time keeps its guarantee.
 const TENANT_ACTIVE_MS: Millis = 10_000.0;
-/// Load over capacity that budgets aim at: messages are late before a backend is full.
+/// Load over capacity that budgets aim at; below 1 because messages are delayed before a backend is full.
 pub(super) const TARGET_LOAD: f64 = 0.9;
-/// The integral E stays within this many budget-seconds, so that it can't wind up.
+/// Upper bound of a tenant's excess, the integral term E of the pacing delay. It prevents integral wind-up.
 const MAX_EXCESS_BUDGET_SECONDS: f64 = 2.0;
-/// Part by which trouble on every backend at once puts the capacity under what is carried now.
+/// In a shortage the learned capacity drops below the load carried now by this fraction times the troubled
+/// share.
 const MAX_CAPACITY_CUT: f64 = 0.1;
-/// Part in trouble from which there is a shortage, and part still calm under which the excess must leave.
+/// Share of the observed capacity that must be in trouble to count as a shortage.
 const SHORTAGE_TROUBLED_SHARE: f64 = 0.3;
+/// Below this calm share the shortage is severe: the excess load has to leave, as no backend has room for it.
 pub(super) const SEVERE_SHORTAGE_CALM_SHARE: f64 = 0.3;
-/// Learned capacity creeps back by this part a second.
+/// Growth of the learned capacity without load reports, as a fraction per second.
 const CAPACITY_RECOVERY_PER_SECOND: f64 = 0.05;
-/// Part of the gap to the claimed capacity taken each interval, up and down: many gateways read one report.
+/// Fraction of the gap to the claimed capacity that is closed each interval, upwards and downwards. Small
+/// steps upwards, because many nodes react to the same report.
 const CLAIM_STEP_UP: f64 = 0.1;
 const CLAIM_STEP_DOWN: f64 = 0.4;
-/// The part taken upwards while so much of the capacity heard from shows no trouble.
+/// Upward step while more than [`MOSTLY_CALM_SHARE`] of the observed capacity shows no trouble.
 const CLAIM_STEP_UP_CALM: f64 = 0.35;
 const MOSTLY_CALM_SHARE: f64 = 0.7;
-/// For so long its equal part is what a newcomer has: by then the clients of the process before it have come.
+/// For this long after its start a new node counts at least its equal part of the quotas as open load: by
+/// then the clients of the previous process have connected.
 const NEWCOMER_QUOTA_MS: Millis = 10_000.0;
-/// While the mean load that reports tell is under this, trouble is no shortage: the limit is not lowered.
+/// Below this mean reported load there is spare capacity: trouble is no shortage and lowers no capacity.
 pub(super) const SPARE_CAPACITY_LOAD: f64 = 0.65;
-/// Part by which a trouble counts less each interval: what troubles a backend comes and goes.
+/// Decay per interval of the load remembered from a backend's last trouble, as trouble is often transient.
 const PEAK_LOAD_DECAY: f64 = 0.06;
 
 impl Balancer {
-    /// Each tenant's demand, and what it is expected to be an interval on.
+    /// Updates each tenant's demand and its forecast for the next interval.
     pub(super) fn forecast_demand(&mut self, now: Millis) {
         for account in self.tenants.values_mut() {
             let queued = account.queue.iter().filter_map(|id| self.entries.get(id));
             let demand = account.load + queued.map(|e| e.request.load()).sum::<f64>() + account.refused;
             account.refused = 0.0;
-            let change = demand - std::mem::replace(&mut account.demand, demand);
+            let change = demand - std::mem::replace(&mut account.last_demand, demand);
             account.mean_change += (change - account.mean_change) * FORECAST_SMOOTHING;
             account.mean_rise += (change.max(0.0) - account.mean_rise) * FORECAST_SMOOTHING;
             account.forecast = (demand + account.mean_change + FORECAST_CUSHION * account.mean_rise).max(0.0);
@@ -49,8 +57,11 @@
         }
     }
 
-    /// Guarantees first, spare capacity by priority up to the forecasts, what is left in equal parts; a
-    /// contract states a tenant's guarantee and priority, and a maximum that holds at every step.
+    /// Distributes the capacity among the active tenants.
+    ///
+    /// Guarantees come first, then spare capacity by priority up to each forecast; what is left is split
+    /// equally. A contract states a tenant's guarantee and priority, and a maximum that applies at every
+    /// step.
     pub(super) fn assign_budgets(&mut self, now: Millis) {
         let mut spare = self.capacity_per_weight * self.usable_weight(now);
         let mut recent: Vec<&mut TenantAccount> = self
@@ -73,7 +84,7 @@
             }
             spare -= wanted * part;
         }
-        // Those near their maximum first: what they can't take is for the others.
+        // Tenants closest to their maximum first: what they can't take is left to the others.
         recent.sort_by(|a, b| (a.maximum() - a.budget).total_cmp(&(b.maximum() - b.budget)));
         let (mut spare, mut count) = (spare.max(0.0), count);
         for account in recent {
@@ -89,13 +100,17 @@
         }
     }
 
-    /// Learned capacity: from reports a claim in proportion to what this gateway has open, else from trouble.
+    /// Updates the learned capacity per unit of weight.
+    ///
+    /// With load reports it moves towards a claim in proportion to this node's open load. Without them it
+    /// grows slowly. In a shortage it is cut below the open load in either case.
     pub(super) fn learn_capacity(&mut self, now: Millis) {
         let weight = self.usable_weight(now).max(f64::MIN_POSITIVE);
         let (mut observed, mut trouble, mut pressure) = (f64::MIN_POSITIVE, 0.0, 0.0);
         for record in self.backends.values_mut().filter(|s| s.usable(now)) {
             record.resets = 0;
-            // One that holds none of this gateway's connections can't show trouble: that is no health.
+            // A backend without connections of this node can't show trouble here; it does not count as calm
+            // either.
             let load = record.load_estimate(now).map_or(0.0, |(load, _)| load);
             let troubled = std::mem::take(&mut record.strained);
             let peak = record.peak_load * (1.0 - PEAK_LOAD_DECAY);
@@ -117,16 +132,17 @@
         if let Some((mean, fresh)) = reported_load {
             let own = open.max(self.settings.quota_part() / 4.0);
             let claim = own / weight * TARGET_LOAD / mean.max(0.05);
-            // Clients that broke off and come again are no loss of capacity.
+            // With spare capacity a drop of this node's load means that clients disconnected and will
+            // reconnect, not that capacity was lost.
             let down = if mean < SPARE_CAPACITY_LOAD { 0.0 } else { CLAIM_STEP_DOWN };
-            // Clients of a gateway that has ended come all at once: without trouble they need not wait long.
+            // The clients of a stopped node arrive all at once; while backends are calm, admit them faster.
             let up = if self.calm_share > MOSTLY_CALM_SHARE { CLAIM_STEP_UP_CALM } else { CLAIM_STEP_UP };
             let step = if claim > self.capacity_per_weight { up } else { down };
             self.capacity_per_weight += (claim - self.capacity_per_weight) * step * fresh;
         } else {
             self.capacity_per_weight *= 1.0 + CAPACITY_RECOVERY_PER_SECOND * INTERVAL_MS / 1_000.0;
         }
-        // Trouble on many backends is a shortage; on a few it is for the weights to answer.
+        // Trouble on many backends is a shortage; trouble on a few is left to the weights.
         self.calm_share = 1.0 - trouble / observed;
         if self.calm_share < 1.0 - SHORTAGE_TROUBLED_SHARE
             && self.mean_load.is_none_or(|mean| mean > SPARE_CAPACITY_LOAD)
@@ -147,7 +163,7 @@
         self.contract.map_or(f64::INFINITY, |contract| contract.maximum)
     }
 
-    /// What the forecast still wants on top of the budget.
+    /// Forecast demand, up to the maximum, that the budget does not cover yet.
     fn wanted(&self) -> f64 {
         self.forecast.min(self.maximum()) - self.budget
     }
--- a/src/logic/discovery.rs
+++ b/src/logic/discovery.rs
@@ -1,17 +1,19 @@
-//! The list of backends: what it changes, and when discovery is asked again.
+//! The backend list from discovery: how a new list is applied, and when discovery is called again.
 
 use crate::api::*;
 use crate::state::*;
 
-/// First pause after a failed discovery call, doubled by each further one, and the most: changes count as
-/// told 6 s on. A watch may have broken for all: they ask anew as spread out as at the start.
+/// Pause after the first failed discovery call; each further failure doubles it.
 pub(super) const DISCOVERY_BACKOFF_MS: Millis = 1_000.0;
+/// Longest pause between discovery calls: a change counts as known to a node 6 s after discovery had it, so
+/// that a node has to call well within that time.
 const MAX_DISCOVERY_BACKOFF_MS: Millis = 2_000.0;
 
-/// A known list that names less than this part of those that discovery lists was not whole.
+/// A start-up list with less than this share of the weight that discovery lists was incomplete.
 const MIN_KNOWN_LIST_SHARE: f64 = 0.5;
 
 impl Balancer {
+    /// Applies a backend list or its changes and releases requests that now fit.
     pub(super) fn list_received(
         &mut self,
         now: Millis,
@@ -37,15 +39,21 @@
         self.release_all(now, out);
     }
 
-    /// The list that a process is started with may name few of those that are there. What was made of it is this gateway's part of
-    /// the whole, and stays that when the whole list has come: it is no growth. Where it named most of them, the rest is a change
-    /// like any other.
+    /// Rescales the capacity per weight when the first list from discovery replaces the start-up list.
+    ///
+    /// The start-up list may name only few of the backends. The capacity assigned to it is this node's part
+    /// of the whole pool, so that the complete list spreads it and does not add to it. Where the start-up
+    /// list named most backends, the rest is a change like any other.
     fn capacity_by_known_list(&mut self, known_weight: f64) {
         if known_weight > 0.0 && known_weight < self.listed_weight * MIN_KNOWN_LIST_SHARE {
             self.capacity_per_weight *= known_weight / self.listed_weight;
         }
     }
 
+    /// Schedules the next discovery call after a failed call or a broken watch.
+    ///
+    /// A broken watch may have broken for every node at once, so that the new calls are spread out as at
+    /// start-up.
     pub(super) fn discovery_failed(&mut self, now: Millis, out: &mut Actions) {
         let (drawn, broke) = (draw(&mut self.rng), std::mem::take(&mut self.subscribed));
         let spread = self.settings.first_call_spread_ms().min(MAX_DISCOVERY_BACKOFF_MS);
@@ -56,6 +64,7 @@
         out.push(Action::SetTimer { at: self.next_discovery_at, id: TimerId(TIMER_DISCOVERY) });
     }
 
+    /// Subscribes to the backend list if there is no subscription and a call is due.
     pub(super) fn ask_discovery(&mut self, now: Millis, out: &mut Actions) {
         if !self.subscribed && now >= self.next_discovery_at {
             out.push(Action::Subscribe { on: true });
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -1,21 +1,29 @@
-//! Health of backends: what outcomes, notes, reports and probes tell, and pauses after failures.
+//! Backend health and load, from outcomes, message delays, load reports and probes; pauses after failures.
 
 use crate::api::*;
 use crate::state::*;
 
-/// A report counts for 1/e of a fresh one after this; a note on message delay is void after the second.
+/// After this time a load report counts 1/e of a fresh one.
 pub(super) const REPORT_DECAY_MS: Millis = 5_000.0;
+/// A message delay is ignored after this time.
 pub(super) const DELAY_NOTE_VALID_MS: Millis = 2_500.0;
+/// Load over capacity from which a backend counts as in trouble and is not preferred.
 pub(super) const BUSY_LOAD: f64 = 0.85;
-/// First pause after failed connects or lost connections (it doubles), and after a refusal or an error.
+/// First pause of a backend after a failed connect, an error, a timeout or lost connections. It doubles with
+/// each further failure, up to eight times this value.
 const FAILURE_PAUSE_MS: Millis = 1_000.0;
+/// Pause after a refusal because the backend is full.
 pub(super) const FULL_PAUSE_MS: Millis = 200.0;
-/// Points of the result worth spending on probes, and most probes for a request where they cost nothing.
+/// Points of the result that probes may cost, per request placed.
 const PROBE_POINTS_PER_REQUEST: f64 = 0.005;
+/// Limit for each request placed where probes cost nothing.
 const MAX_PROBES_PER_REQUEST: f64 = 5.0;
 
 impl Balancer {
-    /// Notes come while messages take over a third of the shortest aim: that is load near or over capacity.
+    /// Notes the message delay at a backend.
+    ///
+    /// Delay events come while messages take over a third of the shortest target, which means load near or
+    /// over capacity; over half of it counts as trouble.
     pub(super) fn message_delay(&mut self, now: Millis, backend: BackendId, took_ms: Millis) {
         let late = took_ms / self.settings.shortest_message_aim();
         if let Some(record) = self.backends.get_mut(&backend).filter(|_| late.is_finite()) {
@@ -24,6 +32,7 @@
         }
     }
 
+    /// Updates a backend's health after an attempt, a connection (`stood`: it was established) or a probe.
     pub(super) fn record_outcome(&mut self, now: Millis, backend: BackendId, outcome: Outcome, stood: bool) {
         let jitter = 0.75 + draw(&mut self.rng) / 2.0;
         let Some(record) = self.backends.get_mut(&backend) else { return };
@@ -31,7 +40,7 @@
         record.strained |= matches!(outcome, Full | Error | Reset | TimedOut);
         match outcome {
             Outcome::Ok => record.mark_answered(now),
-            // One that times out takes work and answers nothing; a probe that is answered brings it back.
+            // A backend that times out accepts work without answering. An answered probe ends the pause.
             Error | TimedOut => record.pause_after_failure(now, jitter),
             Outcome::Full => {
                 record.avoid_until = record.avoid_until.max(now + FULL_PAUSE_MS * jitter);
@@ -42,7 +51,7 @@
             }
             Outcome::Reset if stood => {
                 record.resets += 1;
-                // Most of what it held broke at once: the process died, whatever the list still says.
+                // Most of its connections broke at once: the process died, even if it is still listed.
                 if record.resets >= 2 && record.resets >= record.open {
                     record.pause_after_failure(now, jitter);
                 }
@@ -51,6 +60,7 @@
         }
     }
 
+    /// Probes the next serving backend and sets the timer for the probe after it, at a rate bounded by cost.
     pub(super) fn probe(&mut self, now: Millis, out: &mut Actions) {
         if let Some(backend) = self.serving_after(self.last_probed) {
             self.last_probed = backend;
@@ -63,10 +73,11 @@
 }
 
 impl BackendRecord {
-    /// Load over capacity as far as reports and notes tell, and how far that can still be believed.
+    /// Returns the load over capacity estimated from reports and message delays, and its confidence from 0 to
+    /// 1.
     pub(super) fn load_estimate(&self, now: Millis) -> Option<(f64, f64)> {
         let note = self.delay_note(now);
-        // What was placed or has ended since the report counts.
+        // Adds connections placed since the report and subtracts those that have ended.
         let since = (f64::from(self.open) - f64::from(self.open_at_report)) * self.connection_load;
         let report =
             self.report.map(|(x0, at)| ((x0 + since).max(0.0), (-(now - at) / REPORT_DECAY_MS).exp()));
@@ -76,10 +87,12 @@
         }
     }
 
+    /// Returns the load inferred from message delay, with full confidence, while it is recent.
     pub(super) fn delay_note(&self, now: Millis) -> Option<(f64, f64)> {
         self.delay.filter(|(_, at)| now - at < DELAY_NOTE_VALID_MS).map(|(load, _)| (load, 1.0))
     }
 
+    /// Returns whether the backend serves and is not paused after repeated failures.
     pub(crate) fn usable(&self, now: Millis) -> bool {
         self.info.phase == Phase::Serving && (self.failures < 2 || now >= self.avoid_until)
     }
@@ -89,7 +102,9 @@
         self.avoid_until = now + FAILURE_PAUSE_MS * jitter * f64::from(1u32 << (self.failures - 1).min(3));
     }
 
-    /// It answers. After an absence it may be a new process that the list has not named yet: it is cold.
+    /// Clears the failures of a backend that has answered.
+    ///
+    /// After three failed connects it may be a new process that is not listed yet, so it counts as cold.
     pub(super) fn mark_answered(&mut self, now: Millis) {
         if self.connect_failures >= 3 {
             self.age.returned(now);
--- a/src/logic/limit.rs
+++ b/src/logic/limit.rs
@@ -1,13 +1,15 @@
-//! Each tenant's limit of connections, and the pacing of those that queue.
+//! Each tenant's connection limit, and the pacing of its queued requests.
 
 use crate::api::*;
 use crate::state::*;
 
-/// Pacing a and b: delay of one unit of load when one budget over budget, and when that has lasted a second.
+/// Pacing coefficient a: delay of one unit of load while the tenant is over its budget by one whole budget.
 const PACE_OVERLOAD_MS: Millis = 200.0;
+/// Pacing coefficient b: further delay of one unit of load for each budget-second of excess.
 const PACE_EXCESS_MS: Millis = 100.0;
 
 impl Balancer {
+    /// Queues a new request and releases it at once if its tenant's limit and pacing allow it.
     pub(super) fn arrived(&mut self, now: Millis, request: Request, out: &mut Actions) {
         let grace = if request.grace_ms.is_finite() { request.grace_ms.max(0.0) } else { 0.0 };
         let new = !self.tenants.contains_key(&request.tenant);
@@ -28,6 +30,7 @@
         }
     }
 
+    /// Creates the request's entry and updates its tenant's contract, priority and least load.
     pub(super) fn enter(&mut self, now: Millis, request: Request, deadline: Millis) {
         let (class, request) = (self.settings.class(request.class), self.normalize_hint(request));
         let account = self.tenants.entry(request.tenant).or_default();
@@ -36,7 +39,7 @@
             account.contract.map_or(account.priority.max(class.worth), |contract| contract.priority);
         let least = if account.least_load > 0.0 { account.least_load } else { f64::INFINITY };
         account.least_load = least.min(request.load());
-        let give_up_at = deadline - 4.0 * self.settings.tick_ms; // batches come once a tick
+        let give_up_at = deadline - 4.0 * self.settings.tick_ms; // events come in batches, once a tick
         self.entries.insert(request.id, Entry { request, deadline, give_up_at, ..Entry::default() });
     }
 
@@ -45,8 +48,11 @@
         tenants.into_iter().for_each(|tenant| self.release(now, tenant, out));
     }
 
-    /// Lets queued requests go while the tenant is under its limit (budget over minimum rate, rounded, at
-    /// least one); the first in the queue waits a(S-B)+bE while S exceeds B.
+    /// Admits queued requests while the tenant is under its limit.
+    ///
+    /// The limit is the budget over the least load of a connection, rounded and at least one. While the load
+    /// S exceeds the budget B, the head of the queue is delayed by a(S-B)/B + bE for each unit of its load,
+    /// where E is the accumulated excess.
     pub(super) fn release(&mut self, now: Millis, tenant: TenantId, out: &mut Actions) {
         while let Some(account) = self.tenants.get_mut(&tenant) {
             let Some(&id) = account.queue.front() else { return };
@@ -75,6 +81,7 @@
         }
     }
 
+    /// Handles a request's timer: releases or retries it, or gives up once its time is over.
     pub(super) fn request_timer(&mut self, now: Millis, timer: TimerId, out: &mut Actions) {
         let id = RequestId(timer.0.wrapping_sub(TIMER_REQUESTS));
         match self.entries.get(&id).map(|entry| (entry.state, entry.request.tenant)) {
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,5 +1,7 @@
-//! The decision module (interface: `src/api.rs`): what to do, never how. A request joins its tenant's queue, leaves under
-//! its limit after the pacing delay, and weighted round robin names its backend; `docs/design.md` tells the rest.
+//! The decision module: turns events into actions and does no I/O. The interface is `src/api.rs`.
+//!
+//! A request joins its tenant's queue and leaves it after the pacing delay while the tenant is under its
+//! limit. Weighted round robin then selects its backend. See `docs/design.md` for details.
 
 mod budget;
 mod discovery;
@@ -16,11 +18,11 @@
 use discovery::DISCOVERY_BACKOFF_MS;
 pub(crate) use slow_start::SlowStart;
 
-/// Budgets, limits and weights are recomputed this often: short against the life of a connection.
+/// Interval between updates of budgets, limits and weights; short compared with the life of a connection.
 pub(super) const INTERVAL_MS: Millis = 500.0;
 
 impl Balancer {
-    /// A gateway that knows nothing yet; `seed` feeds its random numbers.
+    /// Creates the decisions of a node that knows no backends yet; `seed` seeds its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let class_work = vec![0.0; settings.classes.len()];
         Balancer {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Takes one event at clock time `now` and appends what the relay is to do.
+    /// Handles one event at clock time `now` and appends the actions that the node has to carry out.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         if self.started.is_none() {
             self.start(now, out);
@@ -73,7 +75,7 @@
             timer(draw(&mut self.rng) * 1_000.0, TIMER_PROBE);
         }
         if self.settings.discovery_on_request {
-            // All gateways may have started together: their first calls are spread out.
+            // All nodes may have started together, so their first discovery calls are spread out.
             timer(draw(&mut self.rng) * self.settings.first_call_spread_ms(), TIMER_DISCOVERY);
         }
     }
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -1,4 +1,4 @@
-//! Which backend a request is sent to, by weighted round robin among those that may be sent to.
+//! Backend selection: weighted round robin among the backends that a request may be sent to.
 
 use super::budget::TARGET_LOAD;
 use super::health::{BUSY_LOAD, FULL_PAUSE_MS};
@@ -7,24 +7,27 @@
 use crate::state::*;
 use std::collections::BTreeSet;
 
-/// Most load over capacity that one connection is taken to bring.
+/// Upper bound of the load over capacity that one more connection is assumed to add to a backend.
 const MAX_CONNECTION_LOAD: f64 = 0.1;
-/// Group and zone preference act among backends so many turns early and under this load over capacity. No
-/// closer: each backend over which a group is spread carries the group's work once more.
+/// Group, zone and key are preferred only among backends that are within this many turns of the next one, and
+/// below [`BUSY_LOAD`]. Fewer turns would spread a group over more backends, and each of them carries the
+/// group's shared work once more.
 const AFFINITY_TURNS: f64 = 8.0;
-/// A loaded backend keeps this part of its weight: so it still shows whether it has recovered.
+/// Share of its weight that a loaded backend keeps, so that some requests still show whether it has
+/// recovered.
 const MIN_ROOM: f64 = 0.05;
-/// Part of the time left that one attempt may take, and the least such time.
+/// Share of a request's remaining time that one attempt may take while there is another backend to try.
 const ATTEMPT_TIME_SHARE: f64 = 0.4;
+/// Lower bound of that attempt timeout.
 const MIN_ATTEMPT_TIMEOUT_MS: Millis = 250.0;
 
 impl Balancer {
-    /// Weights for the coming interval: listed weight, part warmed up, room left.
+    /// Sets the weights for the coming interval: listed weight times warmed-up share times room left.
     pub(super) fn update_weights(&mut self, now: Millis) {
         let size: f64 = self.backends.values().map(BackendRecord::size).sum();
         let work = self.backends.values().map(|s| s.work).sum::<f64>() / size.max(f64::MIN_POSITIVE);
         for record in self.backends.values_mut() {
-            // Stale word of one backend fades into the mean of all.
+            // The older the report of a backend, the more the mean of all backends replaces it.
             let room = match (record.load_estimate(now), self.mean_load) {
                 (Some((load, fresh)), Some(mean)) => 1.0 - (mean + (load - mean) * fresh),
                 (Some((load, _)), None) | (None, Some(load)) => 1.0 - load,
@@ -37,8 +40,9 @@
             record.connection_load =
                 (TARGET_LOAD / (self.capacity_per_weight * record.capacity)).clamp(0.0, MAX_CONNECTION_LOAD);
             let weight = (record.capacity * room.max(MIN_ROOM)).max(1e-9);
-            // A turn taken at a small weight must not keep a backend out long after it has recovered. The
-            // first is drawn by weight too; that of a cold backend is held by the gate.
+            // A turn scheduled at a small weight must not keep a backend out long after it has recovered, so
+            // it is rescaled to the new weight. The random first turn is scaled by weight too, except for a
+            // cold backend, whose requests are limited by slow start.
             let known = if record.weight > 0.0 { (record.weight / weight).min(1.0) } else { 1.0 / weight };
             let scale = if record.weight > 0.0 || warmth >= 1.0 { known } else { 1.0 };
             record.next_turn = self.virtual_time + (record.next_turn - self.virtual_time).max(0.0) * scale;
@@ -46,17 +50,22 @@
         }
     }
 
-    /// Weighted round robin by virtual time: the smallest turn is next and each turn lasts 1/weight. Among
-    /// backends some turns early, those that hold some of the group come first; then the own zone, then the
-    /// group's own place, the same at every gateway and in proportion to warm size.
+    /// Selects a backend by weighted round robin in virtual time: the smallest next turn wins, and each turn
+    /// lasts 1/weight.
     ///
-    /// A backend in slow start gets the request only by the one chance that it has there; without it a warm one is chosen.
+    /// Among backends within [`AFFINITY_TURNS`] of the next one, those that hold connections of the group are
+    /// preferred, then this node's zone, then the group's rendezvous place, which is the same at every node
+    /// and follows warm capacity.
+    ///
+    /// A request gets one random chance to go to a backend in slow start. If it fails, a warm backend is
+    /// selected.
     pub(super) fn pick(&mut self, now: Millis, id: RequestId) -> Option<BackendId> {
         let entry = self.entries.get(&id)?;
         let by_key = if self.settings.mode == Mode::Pass { entry.request.key } else { None };
         let affinity = entry.request.group.or(by_key);
         let group_backends = self.group_backends(entry.request.group);
-        // A group has no one place where none is warm: all of it would wait for one backend in slow start.
+        // While no backend is warm a group is not kept together: all of it would wait for one backend in slow
+        // start.
         let spread = !self.any_warm(now);
         let key = affinity.filter(|_| !spread).map_or(mix(self.salt ^ id.0), |key| key.0);
         if entry.state == State::Queued {
@@ -82,7 +91,8 @@
         None
     }
 
-    /// Marks the backends that the request may be sent to; `careful` leaves out those in a pause, and those tried.
+    /// Marks the backends that the request may be sent to. `careful` leaves out paused backends and those
+    /// already tried for this request.
     fn mark_ready(&mut self, now: Millis, id: RequestId, careful: bool) {
         let Some(entry) = self.entries.get(&id) else { return };
         let effect = self.settings.class(entry.request.class).effect;
@@ -93,9 +103,12 @@
         }
     }
 
-    /// The backend in slow start that is the request's place among those that are ready, if it has its place at one. What a node
-    /// prefers for the moment, by turns or load, must not lead there: the chance counts on places. They are by full size, so that a
-    /// newcomer gets its groups bit by bit and not one after the other.
+    /// Returns the request's rendezvous place among the ready backends, if that backend is in slow start and
+    /// not busy.
+    ///
+    /// Turns and momentary load play no part here, because the chance (see `slow_start`) is calculated from
+    /// the rendezvous places. Places follow full size, so that a new backend receives its groups gradually
+    /// and not one group after another.
     fn place_in_slow_start(
         &self,
         now: Millis,
@@ -117,7 +130,7 @@
             .then_some(*id)
     }
 
-    /// The first of the backends that are ready.
+    /// Returns the ready backend that comes first by affinity, zone and turn.
     fn next_ready(
         &self,
         now: Millis,
@@ -139,7 +152,8 @@
         Some(*next.0)
     }
 
-    /// Counts the turn of the backend that is sent to, from the earliest among those that are ready.
+    /// Advances virtual time to the earliest turn among the ready backends and schedules this backend's next
+    /// turn.
     fn take_turn(&mut self, backend: BackendId) -> BackendId {
         let turns = self
             .backends
@@ -154,13 +168,15 @@
         backend
     }
 
-    /// The request has had its one chance: of the backends in slow start none is ready for it any more.
+    /// Clears `ready` for all backends in slow start, once the request has used its one chance.
     fn leave_out_slow_start(&mut self, now: Millis) {
         for record in self.backends.values_mut() {
             record.ready &= !record.in_slow_start(now, &self.settings);
         }
     }
 
+    /// Sends a request to a backend, or schedules a retry if none is available. Finishes the request if it
+    /// has no attempts or time left, or may not be repeated.
     pub(super) fn admit(&mut self, now: Millis, id: RequestId, out: &mut Actions) {
         let Some(entry) = self.entries.get(&id) else { return };
         let class = self.settings.class(entry.request.class);
@@ -179,8 +195,8 @@
         (entry.state, entry.backend, entry.sent_at) = (State::InFlight, Some(backend), now);
         entry.attempts += 1;
         entry.tried.push(backend);
-        // One that takes work and answers nothing must not cost all the time that a client has, while there
-        // is another to try.
+        // A backend that accepts work without answering must not use up the client's whole deadline while
+        // another backend can be tried.
         let another = self.backends.iter().any(|(id, s)| s.usable(now) && !entry.tried.contains(id));
         let wait =
             if another { (left * ATTEMPT_TIME_SHARE).max(MIN_ATTEMPT_TIMEOUT_MS).min(left) } else { left };
@@ -189,7 +205,8 @@
     }
 }
 
-/// Whether a request may be sent to this backend (or at all): what may have run is bound by its class.
+/// Returns whether a request may be sent to this backend, or to any if `to` is `None`. Once an attempt may
+/// have run, the repeat rules of the request's class apply.
 pub(super) fn may_send(entry: &Entry, effect: Effect, now: Millis, to: Option<&BackendInfo>) -> bool {
     match (effect, entry.may_have_run) {
         (Effect::Free, _) | (_, None) => true,
--- a/src/logic/relief.rs
+++ b/src/logic/relief.rs
@@ -1,4 +1,4 @@
-//! Moves clients off backends that are asked for more than they can do.
+//! Overload relief: moves clients off backends whose load exceeds their capacity.
 
 use super::budget::{SEVERE_SHORTAGE_CALM_SHARE, SPARE_CAPACITY_LOAD};
 use super::health::DELAY_NOTE_VALID_MS;
@@ -6,18 +6,22 @@
 use crate::state::*;
 use std::collections::BTreeMap;
 
-/// Relief goes down to this load: what has piled up must be worked off as well.
+/// Load over capacity that relief aims at; well below 1, because the backlog must be worked off as well.
 const RELIEF_TARGET_LOAD: f64 = 0.75;
 
 impl Balancer {
-    /// The paper slows what is open when over budget. A connection here can't be slowed: while a backend
-    /// is asked for more than it can do, each gateway moves its part of the excess, the least worth first.
+    /// Moves this node's part of the excess connections off each overloaded backend.
+    ///
+    /// The paper (see the crate documentation) slows open connections that are over budget. Connections here
+    /// can't be slowed, so they are moved. In a shortage the connections with the least worth for their work
+    /// go first.
     pub(super) fn relieve_overload(&mut self, now: Millis, out: &mut Actions) {
-        // With room elsewhere clients move there; in a shortage they leave, and the budget keeps others out.
+        // With room elsewhere clients move there. In a severe shortage they leave, and the budgets keep
+        // others out.
         let part = if self.calm_share < SEVERE_SHORTAGE_CALM_SHARE { 1.0 } else { self.calm_share };
         let mut moves_left: BTreeMap<BackendId, u32> = BTreeMap::new();
         for (&backend, record) in &mut self.backends {
-            // A late report would have the same excess moved again and again; a note is of this moment.
+            // An outdated report would move the same excess repeatedly; message delays are current.
             let estimate =
                 if self.settings.tells_delay { record.delay_note(now) } else { record.load_estimate(now) };
             let Some((x0, fresh)) = estimate else { continue };
@@ -27,7 +31,8 @@
                 record.relieved_at = now;
             }
         }
-        // With room elsewhere those gain most by a move that are worth most, and the heavy ones relieve most.
+        // With room elsewhere, the most valuable connections gain most by a move, and the heaviest ones
+        // relieve the backend most.
         let roomy = self.mean_load.is_some_and(|mean| mean < SPARE_CAPACITY_LOAD);
         let value = |e: &Entry| {
             let (worth, work) = (self.settings.class(e.request.class).worth, e.work.max(1.0));
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -1,14 +1,15 @@
-//! The life of a request after it was sent: established, ended, tried again, answered.
+//! Requests after they were sent: established, ended, retried, answered.
 
 use crate::api::*;
 use crate::state::*;
 
-/// A request that so many backends answer with an error is itself at fault.
+/// A request that this many backends answer with an error is at fault itself and is not retried.
 const MAX_ERROR_ANSWERS: usize = 3;
 
 impl Balancer {
+    /// Records a connection that was open through this node before it started.
     pub(super) fn adopted(&mut self, now: Millis, request: Request, backend: BackendId) {
-        self.has_adopted = true; // no newcomer: it holds what is its own
+        self.has_adopted = true; // not a new node: the adopted connections count as its load
         self.enter(now, request, f64::INFINITY);
         if let Some(entry) = self.entries.get_mut(&request.id) {
             (entry.state, entry.backend, entry.attempts) = (State::Open, Some(backend), 1);
@@ -16,17 +17,19 @@
         self.account_connection(request.id, 1);
     }
 
+    /// Marks the connection as open and clears its backend's failures.
     pub(super) fn established(&mut self, now: Millis, id: RequestId) {
         let Some(entry) = self.entries.get_mut(&id).filter(|e| e.state == State::InFlight) else { return };
         entry.state = State::Open;
         let errored_on = std::mem::take(&mut entry.errored_on);
-        self.placed_in_interval += 1.0; // attempts that fail say nothing of what a backend can take
+        self.placed_in_interval += 1.0; // failed attempts say nothing about what backends can take
         let backend = entry.backend.and_then(|b| self.backends.get_mut(&b));
         backend.into_iter().for_each(|record| record.mark_answered(now));
-        // What one backend serves and another answers with an error is that other's fault.
+        // One backend serves the request, so the errors of the others were their own fault.
         errored_on.into_iter().for_each(|backend| self.record_outcome(now, backend, Outcome::Error, false));
     }
 
+    /// Handles the end of an attempt or connection: drops the request, retries it or gives the final answer.
     pub(super) fn ended(
         &mut self,
         now: Millis,
@@ -39,7 +42,8 @@
         let Some(entry) = self.entries.get(&id).filter(|e| e.state >= State::InFlight) else { return };
         let (tenant, left, stood) = (entry.request.tenant, entry.client_left, entry.state == State::Open);
         self.account_connection(id, -1);
-        // An error may be the request's own fault: nobody is blamed until another backend serves it.
+        // An error may be the request's own fault: it counts against the backend only once another one serves
+        // it.
         let error = how == Outcome::Error && !stood;
         if !error {
             self.record_outcome(now, at, how, stood);
@@ -62,17 +66,20 @@
         self.release(now, tenant, out);
     }
 
+    /// Handles a client that left: forgets a request that is not sent, cancels an attempt if that is
+    /// possible.
     pub(super) fn departed(&mut self, id: RequestId, out: &mut Actions) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.client_left = true;
         if entry.state < State::InFlight {
-            self.entries.remove(&id); // its queue drops ids without an entry when their turn comes
+            self.entries.remove(&id); // the queue drops ids without an entry at its head
         } else if entry.state == State::InFlight && self.settings.cancel {
             out.push(Action::CancelAttempt { id, attempt: entry.attempts.saturating_sub(1) });
         }
     }
 
-    /// The final answer for a request that is not out: refused where that is harmless, else failed.
+    /// Gives the final answer to a request without an attempt in flight: refused if a retry is harmless, else
+    /// failed.
     pub(super) fn finish(&mut self, now: Millis, id: RequestId, out: &mut Actions) {
         let Some(entry) = self.entries.remove(&id) else { return };
         let effect = self.settings.class(entry.request.class).effect;
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -1,54 +1,61 @@
-//! Slow start: what a backend that has just started may be sent.
+//! Slow start: limits the requests sent to a backend that has just started.
 //!
-//! A backend in slow start falls over when all nodes together send it more than the settings allow it in a span: the overload
-//! factor times what it can do at the slowest warm-up. Nodes don't talk, so each keeps the sum by keeping to its own part:
+//! A backend in slow start fails if all nodes together send it more within a time span than the settings
+//! allow: the overload factor times its capacity at the slowest warm-up. The nodes do not coordinate here.
+//! Each one keeps to its own part of the allowance, which bounds the sum:
 //!
-//! * A backend's allowance in a span is `overload factor x warmth x its part of the listed weight x stated rate x span`, and a
-//!   node's part of that is one over the number of nodes; [`ALLOWANCE_FACTOR`] of it is used. Nodes prefer their own zone, so the allowance of
-//!   a backend is shared by the nodes of its zone.
-//! * A node earns its part by time that passes, not by requests that come: each request brings the time since the one before, at
-//!   most [`MAX_EARNED_SPAN_SHARE`] of a span, and none from before the backend's start. However many come, and however suddenly, what a span brings is bounded.
-//! * One request has one chance, at the one backend it would be sent to if all were warm. Without this, a request turned away at
-//!   one cold backend is drawn for at the next, and a zone that is all cold gets all that comes.
-//! * How often requests of this node prefer that backend is learned from the last [`KEY_WINDOW`] of them: a large group's place, or the
-//!   only backend left in a zone, is preferred often, and each of those requests has the smaller chance.
+//! * A backend's allowance in a span is `overload factor x warmth x its share of the listed weight x quota
+//!   rate x span`. A node's part is that divided by the number of nodes, times [`ALLOWANCE_FACTOR`]. Nodes
+//!   prefer their own zone, so the allowance of a backend is divided among the nodes of its zone.
+//! * A node earns its part by elapsed time, not by the number of requests. Each request brings the time since
+//!   the previous one, at most [`MAX_EARNED_SPAN_SHARE`] of a span and none from before the backend's start.
+//!   So the requests sent in a span are bounded, however many arrive and however suddenly.
+//! * A request has one random chance, at the one backend that it would be sent to if all were warm. Otherwise
+//!   a request turned away from one cold backend would be tried on the next one, and a zone with only cold
+//!   backends would receive all requests.
+//! * The share of this node's requests that prefer the backend is estimated from the last [`KEY_WINDOW`]
+//!   requests. The place of a large group, or the only backend left in a zone, is preferred often, and the
+//!   chance of each of those requests is smaller accordingly.
 //!
-//! Ages are counted without the wall clock: see [`Age`].
+//! Ages are measured without the wall clock: see [`Age`].
 
 use crate::api::*;
 use crate::state::*;
 use std::collections::VecDeque;
 
-/// A node's part of the allowance, over one of as many: rests, nodes with little to send and places without requests leave parts unused.
-/// The largest at which tests/ramp.rs and tests/fleet.rs hold.
+/// Factor on a node's equal part of the allowance. It may exceed 1 because part of the allowance is unused:
+/// idle periods, nodes with few requests and backends that no request prefers. The largest value at which
+/// tests/ramp.rs and tests/fleet.rs pass.
 const ALLOWANCE_FACTOR: f64 = 1.2;
-/// Part of a span that one request may bring when none has come for long.
+/// Largest share of a span that one request may bring after an idle period.
 const MAX_EARNED_SPAN_SHARE: f64 = 0.3;
-/// Requests from which it is learned what is preferred how often.
+/// Number of recent requests from which preferences are estimated.
 const KEY_WINDOW: usize = 64;
-/// What is taken for granted before any has come, in requests: that a backend is preferred by its size.
+/// Weight, in requests, of the prior assumption that a backend is preferred in proportion to its size.
 const PRIOR_WEIGHT_REQUESTS: f64 = 16.0;
-/// What the request at hand counts among them. It prefers the backend, or would not be asked about: counted whole it makes a
-/// backend that is seldom preferred look ten times as sought after, not counted a large group's place looks like any other.
+/// Weight of the current request in that estimate. It always prefers the backend in question: counted fully,
+/// a rarely preferred backend would look ten times as popular; not counted, the place of a large group would
+/// look like any other.
 const CURRENT_REQUEST_WEIGHT: f64 = 0.25;
-/// Where the settings tell no rate, a span brings so many requests at least: one is at hand.
+/// Lower bound of the requests assumed in a span if the settings state no rate; one of them is the current
+/// one.
 const MIN_SENDS_PER_SPAN: f64 = 2.0;
 
-/// What slow start remembers of the requests that came.
+/// Recent requests and the time earned by the current one.
 #[derive(Default)]
 pub struct SlowStart {
-    /// What the last requests are about, the newest last.
+    /// Affinity keys of the last requests, the newest last.
     keys: VecDeque<u64>,
-    /// When the last chance was taken.
+    /// When a backend was last chosen.
     last_choice: Option<Millis>,
-    /// Time that the request at hand brings.
+    /// Time that the current request brings, in milliseconds.
     earned_ms: Millis,
-    /// The largest weight that was listed as serving: the stated rate is for all of it.
+    /// Largest total weight that was listed as serving; the quota rate refers to this total.
     listed_weight: f64,
 }
 
 impl SlowStart {
-    /// Notes what a request that has just come is about.
+    /// Records the affinity key of a new request.
     pub(crate) fn observe_key(&mut self, key: u64) {
         if self.keys.len() == KEY_WINDOW {
             self.keys.pop_front();
@@ -56,12 +63,12 @@
         self.keys.push_back(key);
     }
 
-    /// Notes the weight that is listed as serving.
+    /// Records the total weight that is listed as serving.
     pub(crate) fn observe_weight(&mut self, weight: f64) {
         self.listed_weight = self.listed_weight.max(weight);
     }
 
-    /// Begins a choice: the time since the one before is what this one brings.
+    /// Begins a choice, which brings the time since the previous one.
     pub(super) fn begin_choice(&mut self, now: Millis, span: Millis) {
         let most = span * MAX_EARNED_SPAN_SHARE;
         self.earned_ms = self.last_choice.map_or(most, |last| (now - last).clamp(0.0, most));
@@ -70,7 +77,7 @@
 }
 
 impl Balancer {
-    /// The chance of the request at hand to be sent to this backend in slow start.
+    /// Returns the probability with which the current request is sent to this backend in slow start.
     pub(super) fn slow_start_chance(&self, now: Millis, to: BackendId) -> f64 {
         let Some(record) = self.backends.get(&to) else { return 0.0 };
         let settings = &self.settings;
@@ -84,12 +91,13 @@
         let rate = settings
             .quota_rate_per_node()
             .unwrap_or_else(|| learned.max(MIN_SENDS_PER_SPAN / settings.fall_ms.max(1.0)));
-        // Nothing is earned for it from before it started.
+        // Time from before the backend's start does not count.
         let earned = self.slow_start.earned_ms.min(record.age.at(now).max(0.0));
         ALLOWANCE_FACTOR * allowance / self.preferred(to) * rate * earned
     }
 
-    /// Part of the requests that prefer this backend among those of its kind (the own zone's, or the others').
+    /// Estimates the share of requests that prefer this backend, among the backends of this node's zone if it
+    /// is one of them, else among those of the other zones.
     fn preferred(&self, to: BackendId) -> f64 {
         let Some(record) = self.backends.get(&to) else { return 1.0 };
         let near = record.info.zone == self.settings.zone;
@@ -108,14 +116,14 @@
             / (others + CURRENT_REQUEST_WEIGHT + PRIOR_WEIGHT_REQUESTS)
     }
 
-    /// Zones in which a backend serves.
+    /// Returns the number of zones with a serving backend, at least 1.
     fn serving_zones(&self) -> f64 {
         let serving = self.backends.values().filter(|record| record.info.phase == Phase::Serving);
         let zones: std::collections::BTreeSet<_> = serving.map(|record| record.info.zone).collect();
         zones.len().max(1) as f64
     }
 
-    /// Whether any backend that serves is warm.
+    /// Returns whether any serving backend is warm.
     pub(super) fn any_warm(&self, now: Millis) -> bool {
         self.backends
             .values()
@@ -124,13 +132,13 @@
 }
 
 impl BackendRecord {
-    /// Whether it has started so lately that it may not take its full part.
+    /// Returns whether the backend started too recently to take its full share of requests.
     pub(super) fn in_slow_start(&self, now: Millis, settings: &Settings) -> bool {
         warmth_at(self.age.at(now), settings) < 1.0
     }
 }
 
-/// Part of its capacity that a backend has at the slowest warm-up allowed.
+/// Returns the share of its capacity that a backend of this age has at the slowest warm-up allowed.
 pub(super) fn warmth_at(age: Millis, settings: &Settings) -> f64 {
     let least = settings.start_capacity.clamp(0.01, 1.0);
     (least + (1.0 - least) * age.max(0.0) / settings.cold_ms.max(1.0)).min(1.0)
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,7 +18,7 @@
 /// What one tenant asks, has and may have.
 #[derive(Default)]
 pub struct TenantAccount {
-    pub demand: f64,
+    pub last_demand: f64,
     pub mean_change: f64,
     pub mean_rise: f64,
     pub forecast: f64,
--- a/src/view.rs
+++ b/src/view.rs
@@ -62,7 +62,7 @@
     pub fn tenant_views(&self) -> impl Iterator<Item = TenantView> + '_ {
         self.tenants.iter().map(|(&tenant, account)| TenantView {
             tenant,
-            demand: account.demand,
+            demand: account.last_demand,
             forecast: account.forecast,
             budget: account.budget,
             limit: limit(account),
