--- a/src/logic/budget.rs
+++ b/src/logic/budget.rs
@@ -125,12 +125,12 @@
             }
         }
         let new = !self.has_adopted && self.started.is_some_and(|at| now - at < NEWCOMER_QUOTA_MS);
-        let least = if new { self.settings.quota_part() } else { 0.0 };
+        let least = if new { self.settings.quota_per_node() } else { 0.0 };
         let open = self.tenants.values().map(|account| account.load).sum::<f64>().max(least);
         let reported_load = self.mean_report(now, REPORT_DECAY_MS);
         self.mean_load = reported_load.map(|(mean, _)| mean);
         if let Some((mean, fresh)) = reported_load {
-            let own = open.max(self.settings.quota_part() / 4.0);
+            let own = open.max(self.settings.quota_per_node() / 4.0);
             let claim = own / weight * TARGET_LOAD / mean.max(0.05);
             // With spare capacity a drop of this node's load means that clients disconnected and will
             // reconnect, not that capacity was lost.
--- a/src/logic/discovery.rs
+++ b/src/logic/discovery.rs
@@ -32,7 +32,7 @@
         self.update_weights(now);
         let weight = self.usable_weight(now);
         if self.capacity_per_weight == 0.0 && weight > 0.0 {
-            let quota = self.settings.quota_part();
+            let quota = self.settings.quota_per_node();
             self.capacity_per_weight = if quota > 0.0 { 2.0 * quota } else { 1e6 } / weight;
         }
         self.assign_budgets(now);
@@ -68,7 +68,7 @@
     pub(super) fn ask_discovery(&mut self, now: Millis, out: &mut Actions) {
         if !self.subscribed && now >= self.next_discovery_at {
             out.push(Action::Subscribe { on: true });
-            self.next_discovery_at = now + self.settings.ask_within_ms / 2.0;
+            self.next_discovery_at = now + self.settings.discovery_poll_ms / 2.0;
             out.push(Action::SetTimer { at: self.next_discovery_at, id: TimerId(TIMER_DISCOVERY) });
         }
     }
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -61,7 +61,7 @@
     /// selected.
     pub(super) fn pick(&mut self, now: Millis, id: RequestId) -> Option<BackendId> {
         let entry = self.entries.get(&id)?;
-        let by_key = if self.settings.mode == Mode::Pass { entry.request.key } else { None };
+        let by_key = if self.settings.mode == Mode::PassThrough { entry.request.key } else { None };
         let affinity = entry.request.group.or(by_key);
         let group_backends = self.group_backends(entry.request.group);
         // While no backend is warm a group is not kept together: all of it would wait for one backend in slow
@@ -71,7 +71,7 @@
         if entry.state == State::Queued {
             self.slow_start.observe_key(key);
         }
-        self.slow_start.begin_choice(now, self.settings.fall_ms);
+        self.slow_start.begin_choice(now, self.settings.overload_span_ms);
         let mut chance_left = true;
         for careful in [true, false] {
             self.mark_ready(now, id, careful);
@@ -181,7 +181,7 @@
         let Some(entry) = self.entries.get(&id) else { return };
         let class = self.settings.class(entry.request.class);
         let left = entry.deadline - now - 2.0 * self.settings.tick_ms;
-        let spent = entry.attempts >= self.settings.most_tries.max(1) || left <= 0.0;
+        let spent = entry.attempts >= self.settings.max_attempts.max(1) || left <= 0.0;
         if spent || !may_send(entry, class.effect, now, None) {
             return self.finish(now, id, out);
         }
--- a/src/logic/relief.rs
+++ b/src/logic/relief.rs
@@ -22,8 +22,11 @@
         let mut moves_left: BTreeMap<BackendId, u32> = BTreeMap::new();
         for (&backend, record) in &mut self.backends {
             // An outdated report would move the same excess repeatedly; message delays are current.
-            let estimate =
-                if self.settings.tells_delay { record.delay_note(now) } else { record.load_estimate(now) };
+            let estimate = if self.settings.reports_message_delay {
+                record.delay_note(now)
+            } else {
+                record.load_estimate(now)
+            };
             let Some((x0, fresh)) = estimate else { continue };
             if x0 > 1.0 && fresh > 0.6 && now - record.relieved_at > DELAY_NOTE_VALID_MS && record.open > 0 {
                 let part = (x0 - RELIEF_TARGET_LOAD) / x0 * part * f64::from(record.open);
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -90,7 +90,7 @@
         let learned = self.intake_per_weight * self.listed_weight;
         let rate = settings
             .quota_rate_per_node()
-            .unwrap_or_else(|| learned.max(MIN_SENDS_PER_SPAN / settings.fall_ms.max(1.0)));
+            .unwrap_or_else(|| learned.max(MIN_SENDS_PER_SPAN / settings.overload_span_ms.max(1.0)));
         // Time from before the backend's start does not count.
         let earned = self.slow_start.earned_ms.min(record.age.at(now).max(0.0));
         ALLOWANCE_FACTOR * allowance / self.preferred(to) * rate * earned
@@ -141,5 +141,5 @@
 /// Returns the share of its capacity that a backend of this age has at the slowest warm-up allowed.
 pub(super) fn warmth_at(age: Millis, settings: &Settings) -> f64 {
     let least = settings.start_capacity.clamp(0.01, 1.0);
-    (least + (1.0 - least) * age.max(0.0) / settings.cold_ms.max(1.0)).min(1.0)
+    (least + (1.0 - least) * age.max(0.0) / settings.warm_up_ms.max(1.0)).min(1.0)
 }
