--- a/src/api.rs
+++ b/src/api.rs
@@ -1,25 +1,25 @@
 //! The interface of the decision module: settings, events, actions and typed ids.
 //!
-//! A relay hands each [`Event`] to [`crate::Balancer::handle`] together with its clock and carries out the
-//! [`Action`]s in the order given. All times are milliseconds of one clock that only goes forward.
+//! A node passes each [`Event`] and its current time to [`crate::Balancer::handle`], and carries out the
+//! [`Action`]s in the order given. All times are milliseconds of one monotonic clock.
 
-/// Milliseconds, as a clock reading or a duration.
+/// Milliseconds: a clock reading or a duration.
 pub type Millis = f64;
 
-/// A client request, or the connection it became. The relay picks the number and never reuses it.
+/// A client request, or the connection it became. The node picks the number and never reuses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A backend. All relays should use the same number for the same backend (a hash of its address, say), so
-/// that they agree, without talking, on where a group of connections belongs.
+/// A backend. All nodes should use the same number for the same backend (for example a hash of its name), so
+/// that they agree without communication on where a group of connections belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u64);
 
-/// A tenant, as its place in [`Settings::tenants`]; unknown numbers are accepted.
+/// A tenant, as its index in [`Settings::tenants`]; unknown numbers are accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u32);
 
-/// A request class, as its place in [`Settings::classes`]; unknown numbers get [`Class::default`].
+/// A request class, as its index in [`Settings::classes`]; unknown numbers get [`Class::default`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u32);
 
@@ -27,53 +27,53 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A key that relates requests: a group of connections that share work, or what a request is about. Equal at
-/// all relays.
+/// A key that relates requests: a group of connections that share work, or the subject of a request. It is
+/// the same at all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AffinityKey(pub u64);
 
-/// A timer, given back in [`Event::Timer`].
+/// A timer, returned in [`Event::Timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// Whether a request's work may be done twice.
+/// Whether a request may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Effect {
-    /// Repeats are harmless.
+    /// Idempotent: repeats are harmless.
     #[default]
     Free,
-    /// Repeats are dropped by the backends of one group for a while after the first send.
+    /// Deduplicated: the backends of one group drop repeats for a while after the first send.
     Guarded {
-        /// Which backends drop each other's repeats.
+        /// The backends that drop each other's repeats.
         within: RepeatGroup,
-        /// For how long, from the send of the first attempt that may have run.
+        /// Duration from the send of the first attempt that may have run.
         window_ms: Millis,
     },
-    /// Must not be repeated unless every earlier attempt is known not to have run.
+    /// At most once: must not be repeated unless every earlier attempt is known not to have run.
     SingleShot,
 }
 
-/// The backends that share their memory of repeats.
+/// The backends that share their record of requests already seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatGroup {
     /// Every backend.
     All,
-    /// Those of one zone.
+    /// Backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// Backends of one cell.
     Cell,
 }
 
 /// A request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// A connection should stand within this time.
+    /// Target time within which a connection should be established.
     pub aim_ms: Millis,
-    /// What one request, or one second of its connection, is worth.
+    /// Value of one request, or of one second of its connection.
     pub worth: f64,
-    /// Whether it may be repeated.
+    /// Whether its requests may be repeated.
     pub effect: Effect,
-    /// Wanted duration of one message on the open connection; 0 if not stated.
+    /// Target duration of one message on the open connection; 0 if not stated.
     pub message_aim_ms: Millis,
 }
 
@@ -83,95 +83,95 @@
     }
 }
 
-/// A tenant, as configured.
+/// The configuration of a tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenant {
-    /// Open connections, over all relays, inside its share; 0 if not stated.
+    /// Quota of open connections over all nodes; 0 if not stated.
     pub quota_connections: f64,
-    /// New connections a second, over all relays, inside its share; 0 if not stated.
+    /// Quota of new connections a second over all nodes; 0 if not stated.
     pub quota_rate: f64,
-    /// What was agreed with it; without one it is guaranteed an equal part, has the priority of its highest
-    /// class worth, and no maximum.
+    /// Its contract. Without one the tenant is guaranteed an equal part, its priority is the highest worth of
+    /// the classes it uses, and it has no maximum.
     pub contract: Option<Contract>,
 }
 
-/// What a tenant's contract states, in load: a connection's hint, else one for each.
+/// A tenant's contract. Loads count each connection by its load hint, or as 1 without a hint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Contract {
-    /// Load that it gets whenever it asks for it.
+    /// Load that the tenant always gets on demand.
     pub guarantee: f64,
-    /// Load that it never goes beyond; infinite if none was agreed.
+    /// Load that the tenant never exceeds; infinite if none was agreed.
     pub maximum: f64,
-    /// The higher ones are met first from spare capacity.
+    /// Tenants with higher priority get spare capacity first.
     pub priority: f64,
 }
 
-/// How connections pass the relay.
+/// How connections pass through the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Connections end at the relay.
+    /// The node terminates connections.
     #[default]
     Proxy,
-    /// Packets pass through; open connections may reach another relay.
+    /// The node forwards packets; those of an open connection may arrive at another node later.
     PassThrough,
 }
 
-/// What listed weights stand for.
+/// The meaning of listed weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedWeight {
-    /// Nothing: all are alike.
+    /// None: all backends count the same.
     #[default]
     Silent,
-    /// The size of the machine, exact or rough.
+    /// Size of the machine, exact or approximate.
     Size,
-    /// The size, already lowered by the load the backend carries.
+    /// Size, already reduced by the load that the backend carries.
     Live,
 }
 
-/// The settings of one gateway.
+/// The settings of one node. "Balancer" and "gateway" mean the node, as in the outer settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Gateways in this tier, this one included.
+    /// Number of nodes that share the pool, this one included.
     pub balancers: u32,
-    /// Batches of events come at most this often.
+    /// Shortest time between batches of events.
     pub tick_ms: Millis,
-    /// This gateway's zone.
+    /// This node's zone.
     pub zone: ZoneId,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants.
     pub tenants: Vec<Tenant>,
-    /// How connections pass.
+    /// How connections pass through the node.
     pub mode: Mode,
-    /// What listed weights mean.
+    /// Meaning of listed weights.
     pub listed_weight: ListedWeight,
-    /// The backend list answers only when asked.
+    /// Whether discovery sends the backend list only on request.
     pub discovery_on_request: bool,
-    /// Ask at least this often while there is no subscription.
+    /// Longest time between discovery calls while there is no subscription.
     pub discovery_poll_ms: Millis,
-    /// Probes are allowed.
+    /// Whether probes are allowed.
     pub probing: bool,
-    /// Points of the result that a probe for each request costs.
+    /// Cost of one probe for each request, in points of the result (the simulator's score).
     pub probe_price: f64,
-    /// Attempts may be called off.
+    /// Whether attempts can be cancelled.
     pub cancel: bool,
-    /// [`Event::MessageDelay`] comes while messages at a backend take long.
+    /// Whether [`Event::MessageDelay`] comes while messages at a backend take long.
     pub reports_message_delay: bool,
-    /// Probes, or outcomes, bring load reports with load over capacity.
+    /// Whether probes or outcomes carry reports of load over capacity.
     pub reports: bool,
-    /// Most attempts for one request.
+    /// Largest number of attempts for one request.
     pub max_attempts: u32,
-    /// Refusals may carry a retry-after, up to this; 0 if not.
+    /// Longest retry-after that a refusal may carry; 0 if refusals carry none.
     pub max_retry_after_ms: Millis,
-    /// A connection not established by then has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout_ms: Millis,
-    /// A backend starts at this fraction of its capacity or above.
+    /// Smallest fraction of its capacity that a backend has when it starts.
     pub start_capacity: f64,
-    /// A backend is warm after this at the latest.
+    /// Longest warm-up: after this time a backend has its full capacity.
     pub warm_up_ms: Millis,
-    /// A cold backend sent more than this multiple of its present capacity falls over ...
+    /// A cold backend fails if it is sent more than this multiple of its current capacity ...
     pub overload_factor: f64,
-    /// ... when it lasts for this long.
+    /// ... over a time span of this length.
     pub overload_span_ms: Millis,
 }
 
@@ -204,34 +204,35 @@
 }
 
 impl Settings {
-    /// The shortest message aim that any class states, else infinite.
+    /// Returns the shortest message target of any class, or infinity if none states one.
     pub fn shortest_message_aim(&self) -> Millis {
         let aims = self.classes.iter().map(|class| class.message_aim_ms).filter(|aim| *aim > 0.0);
         aims.fold(f64::INFINITY, f64::min)
     }
 
-    /// The class with this number, or the default one.
+    /// Returns the class with this number, or the default one.
     pub fn class(&self, class: ClassId) -> Class {
         self.classes.get(class.0 as usize).copied().unwrap_or_default()
     }
 
-    /// The contract of the tenant with this number.
+    /// Returns the contract of the tenant with this number.
     pub fn contract(&self, tenant: TenantId) -> Option<Contract> {
         self.tenants.get(tenant.0 as usize).and_then(|tenant| tenant.contract)
     }
 
-    /// First calls to discovery are spread over this.
+    /// Returns the time over which the nodes spread their first calls to discovery.
     pub fn first_call_spread_ms(&self) -> Millis {
         (f64::from(self.balancers) * 50.0).min(self.discovery_poll_ms / 2.0)
     }
 
-    /// One gateway's part of the connections that all tenants may have open inside their shares; 0 if unstated.
+    /// Returns one node's part of all tenants' quotas of open connections; 0 if none is stated.
     pub fn quota_per_node(&self) -> f64 {
         let all: f64 = self.tenants.iter().map(|tenant| tenant.quota_connections).sum();
         all / f64::from(self.balancers.max(1))
     }
 
-    /// One gateway's part of the new connections in a millisecond that all tenants may ask for inside their shares.
+    /// Returns one node's part of all tenants' quotas of new connections, per millisecond; `None` if none is
+    /// stated.
     pub fn quota_rate_per_node(&self) -> Option<f64> {
         let all: f64 = self.tenants.iter().map(|tenant| tenant.quota_rate).sum();
         (all > 0.0).then(|| all / 1_000.0 / f64::from(self.balancers.max(1)))
@@ -244,37 +245,37 @@
     /// Takes new work.
     #[default]
     Serving,
-    /// Finishes its work; nothing new may be sent.
+    /// Finishes its current work; no new work may be sent.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the backend list.
+/// One entry of the backend list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BackendInfo {
     /// Which backend.
     pub id: BackendId,
-    /// Its state.
+    /// Its phase.
     pub phase: Phase,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its cell: backends that share what keys they have seen.
+    /// Its cell: the backends that share their record of requests already seen.
     pub cell: u32,
     /// Listed weight.
     pub weight: f64,
-    /// When it last started; `None` if long past.
+    /// When it last started; `None` if long ago.
     pub started_at: Option<Millis>,
 }
 
-/// What a list holds.
+/// What a backend list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Only changed lines.
+    /// Only the changed entries.
     Patch,
-    /// All lines: backends missing from it are gone.
+    /// All entries: backends missing from it are gone.
     Whole,
-    /// All lines as last known, maybe old.
+    /// All entries as last known, possibly outdated.
     Stale,
 }
 
@@ -287,20 +288,20 @@
     pub tenant: TenantId,
     /// Its class.
     pub class: ClassId,
-    /// The group whose connections share work on a backend.
+    /// The group of connections that share work if they are on one backend.
     pub group: Option<AffinityKey>,
-    /// What it is about.
+    /// The subject of the request.
     pub key: Option<AffinityKey>,
-    /// Time until the client gives up on this try.
+    /// Time until the client gives up on this request.
     pub grace_ms: Millis,
     /// Expected load of the connection.
     pub load_hint: Option<f64>,
-    /// Packets of a connection that is open already and now reach this gateway.
+    /// Whether it stands for packets of a connection that is already open and now reaches this node.
     pub mid_flow: bool,
 }
 
 impl Request {
-    /// Its load: the hint, else one.
+    /// Returns its load: the hint, or 1 without a valid one.
     pub fn load(&self) -> f64 {
         self.load_hint.filter(|hint| hint.is_finite() && *hint > 0.0).unwrap_or(1.0)
     }
@@ -309,55 +310,55 @@
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served; for a connection, it ended in good order.
+    /// Served; for a connection, ended normally.
     Ok,
     /// Answered with an error; may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected before any processing.
     Full,
     /// No answer in time; may have run.
     TimedOut,
-    /// No connection could be made.
+    /// The connection could not be established.
     Unreachable,
     /// The connection broke; may have run.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled; may have run.
     Cancelled,
-    /// Not sent at all.
+    /// Never sent.
     NotSent,
 }
 
-/// A load report. Fields a deployment does not report are absent.
+/// A load report. Values that a deployment does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Load asked of the backend over what it can do.
+    /// Load requested of the backend divided by its capacity.
     pub load_over_capacity: Option<f64>,
 }
 
-/// What happened.
+/// An input of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The backend list, or changes to it.
     Backends {
-        /// What `entries` holds.
+        /// What `entries` contains.
         scope: ListScope,
-        /// The lines.
+        /// The list entries.
         entries: Vec<BackendInfo>,
     },
     /// A call to discovery failed or the subscription broke.
     DiscoveryFailed,
-    /// So many gateways share the pool, this one included: what the settings say of it is overtaken.
+    /// The number of nodes that share the pool has changed; it includes this one and replaces the setting.
     NodeCount(u32),
     /// A client asks for a connection.
     Request(Request),
-    /// A connection that was open through this gateway when it started.
+    /// A connection that was open through this node when the node started.
     Adopted {
-        /// The request it was.
+        /// The request that it came from.
         request: Request,
         /// The backend that holds it.
         backend: BackendId,
     },
-    /// The connection stands.
+    /// The connection is established.
     Established {
         /// Which request.
         id: RequestId,
@@ -372,58 +373,58 @@
         attempt: u32,
         /// The backend.
         backend: BackendId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// The request needs no further answer.
+        /// Whether the request needs no further answer.
         closed: bool,
-        /// The load report that came along.
+        /// The load report that came with it.
         report: Option<Report>,
     },
     /// A probe ended.
     ProbeEnded {
         /// The backend.
         backend: BackendId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// The load report that came along.
+        /// The load report that came with it.
         report: Option<Report>,
     },
-    /// The client left; no answer is owed any more.
+    /// The client has left and needs no answer any more.
     ClientGone {
         /// Which request.
         id: RequestId,
     },
-    /// The gateway ends: whoever waits is to be answered by then.
+    /// The node is shutting down: all waiting requests must be answered by the given time.
     ShuttingDown {
-        /// When.
+        /// Latest time of the answers.
         by: Millis,
     },
     /// The load of an open connection has changed.
     LoadChanged {
         /// Which connection.
         id: RequestId,
-        /// Its load now: microseconds of work a second.
+        /// Its new load, in microseconds of work a second.
         load: f64,
     },
-    /// Messages at a backend take this long now.
+    /// Messages at a backend take this long at present.
     MessageDelay {
         /// The backend.
         backend: BackendId,
         /// Duration of a message.
         took_ms: Millis,
     },
-    /// A message from another gateway.
+    /// A message from another node.
     PeerMessage {
-        /// Sender's number.
+        /// The sender's number.
         from: u32,
-        /// Its bytes.
+        /// The message.
         body: Vec<u8>,
     },
-    /// A timer fell due.
+    /// A timer has expired.
     Timer(TimerId),
 }
 
-/// What the relay is to do.
+/// An output of the decision module, for the node to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to a backend.
@@ -432,29 +433,29 @@
         id: RequestId,
         /// Where to.
         backend: BackendId,
-        /// Give up the attempt after this.
+        /// Time after which the attempt has failed.
         timeout_ms: Millis,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     CancelAttempt {
         /// Which request.
         id: RequestId,
         /// The attempt's number, from 0.
         attempt: u32,
     },
-    /// End an open connection in good order; its client comes again.
+    /// Close an open connection gracefully, so that its client reconnects.
     Move {
         /// Which connection.
         id: RequestId,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused; a retry is harmless.
     Refuse {
         /// Which request.
         id: RequestId,
-        /// How long the client should stay away; 0 for no advice.
+        /// Time after which the client should retry; 0 for no advice.
         retry_after_ms: Millis,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// Final answer: failed; the request may or may not have run.
     Fail {
         /// Which request.
         id: RequestId,
@@ -466,32 +467,32 @@
     },
     /// Subscribe to the backend list, or end the subscription.
     Subscribe {
-        /// Whether changes are wanted from now on.
+        /// Whether to subscribe.
         on: bool,
     },
-    /// Ask for the whole backend list once.
+    /// Fetch the whole backend list once.
     FetchList,
     /// Close the idle connections to a backend.
     CloseIdle {
         /// The backend.
         backend: BackendId,
     },
-    /// Send bytes to one other gateway, or to all.
+    /// Send a message to one other node, or to all.
     SendToPeer {
         /// Its number; `None` for all.
         peer: Option<u32>,
         /// At most 256 bytes.
         body: Vec<u8>,
     },
-    /// A line for the relay's log.
+    /// Write a line to the node's log.
     Log(String),
-    /// The decision code has failed.
+    /// The decision module has failed.
     Fault(String),
-    /// Ask for [`Event::Timer`] at a time.
+    /// Request an [`Event::Timer`] at the given time.
     SetTimer {
-        /// When.
+        /// When it expires.
         at: Millis,
-        /// Which.
+        /// Which timer.
         id: TimerId,
     },
 }
--- a/src/bin/hopmoor-drill.rs
+++ b/src/bin/hopmoor-drill.rs
@@ -1,4 +1,5 @@
-//! The adapter: batches of events on standard input, one reply a batch on standard output.
+//! The simulator adapter: reads one batch of events per line from standard input and writes one reply per
+//! line to standard output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -6,7 +7,7 @@
 fn main() -> ExitCode {
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
-    let mut host = hopmoor::drill::Adapter::default();
+    let mut adapter = hopmoor::drill::Adapter::default();
     let mut line = Vec::new();
     for number in 1u64.. {
         line.clear();
@@ -14,24 +15,24 @@
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) if line.iter().all(u8::is_ascii_whitespace) => continue,
             Ok(_) => {}
-            Err(error) => return stop(number, &error),
+            Err(error) => return fail(number, &error),
         }
-        let reply = match host.batch(&line) {
+        let reply = match adapter.batch(&line) {
             Ok(reply) => reply,
-            Err(error) => return stop(number, &error),
+            Err(error) => return fail(number, &error),
         };
         if let Err(error) = output
             .write_all(reply.as_bytes())
             .and_then(|()| output.write_all(b"\n"))
             .and_then(|()| output.flush())
         {
-            return stop(number, &error);
+            return fail(number, &error);
         }
     }
     ExitCode::SUCCESS
 }
 
-fn stop(line: u64, what: &dyn std::fmt::Display) -> ExitCode {
+fn fail(line: u64, what: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("hopmoor-drill: line {line}: {what}");
     ExitCode::FAILURE
 }
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery's front: one HTTP/1.1 call as a state machine, fed bytes and yielding a body.
+//! The HTTP/1.1 client side of discovery: requests as text, and a response parser that takes bytes as they
+//! arrive.
 
 use winnow::Parser;
 use winnow::ascii::{digit1, hex_digit1, line_ending, space0, till_line_ending};
@@ -7,23 +8,25 @@
 use winnow::stream::Partial;
 use winnow::token::{take, take_till, take_while};
 
-/// The longest head and the longest body taken.
-const HEAD: usize = 16 * 1024;
-const BODY: usize = 4 * 1024 * 1024;
+/// Longest response head that is accepted.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Longest response body that is accepted.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// The request for the whole list.
+/// Returns the request for the whole list.
 pub fn whole(authority: &str) -> String {
     format!("GET /v1/endpoints HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n")
 }
 
-/// The request for what is newer than `seq`, waited for up to `wait_ms`.
+/// Returns the request for changes after version `seq`; discovery waits up to `wait_ms` for one (long
+/// polling).
 pub fn since(authority: &str, seq: u64, wait_ms: u64) -> String {
     format!(
         "GET /v1/endpoints?since={seq}&timeout_ms={wait_ms} HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n"
     )
 }
 
-/// A complete answer.
+/// A complete response.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
     /// The status code.
@@ -34,7 +37,7 @@
     pub reusable: bool,
 }
 
-/// What is wrong with an answer.
+/// A response that can't be used, with the reason.
 #[derive(Debug, PartialEq)]
 pub struct ReplyError(pub &'static str);
 
@@ -60,7 +63,7 @@
     reusable: bool,
 }
 
-/// The answer to one call, as far as it has come.
+/// The response to one call, as far as it has been received.
 #[derive(Debug, Default)]
 pub struct Call {
     buffer: Vec<u8>,
@@ -69,10 +72,10 @@
 }
 
 impl Call {
-    /// Takes bytes; returns the answer once it is whole.
+    /// Takes received bytes; returns the response once it is complete.
     ///
     /// # Errors
-    /// If it is not HTTP, or longer than is taken.
+    /// If it is not HTTP/1.x, or if its head or body is too long.
     pub fn take(&mut self, bytes: &[u8]) -> Result<Option<Reply>, ReplyError> {
         self.buffer.extend_from_slice(bytes);
         if self.head.is_none() {
@@ -80,23 +83,25 @@
             match head.parse_next(&mut input) {
                 Ok(parsed) => {
                     let used = self.buffer.len() - input.len();
-                    if used > HEAD {
+                    if used > MAX_HEAD_BYTES {
                         return Err(ReplyError("head too long"));
                     }
                     self.head = Some(parsed.ok_or(ReplyError("length of the body not understood"))?);
                     self.buffer.drain(..used);
                 }
-                Err(winnow::error::ErrMode::Incomplete(_)) if self.buffer.len() <= HEAD => return Ok(None),
+                Err(winnow::error::ErrMode::Incomplete(_)) if self.buffer.len() <= MAX_HEAD_BYTES => {
+                    return Ok(None);
+                }
                 Err(winnow::error::ErrMode::Incomplete(_)) => return Err(ReplyError("head too long")),
                 Err(_) => return Err(ReplyError("not HTTP/1.1")),
             }
         }
         let length = self.head.as_ref().map(|head| head.length);
-        if self.buffer.len() + self.body.len() > BODY {
+        if self.buffer.len() + self.body.len() > MAX_BODY_BYTES {
             return Err(ReplyError("body too long"));
         }
         match length {
-            Some(Length::Fixed(length)) if length > BODY => Err(ReplyError("body too long")),
+            Some(Length::Fixed(length)) if length > MAX_BODY_BYTES => Err(ReplyError("body too long")),
             Some(Length::Fixed(length)) if self.buffer.len() >= length => {
                 self.body = self.buffer.drain(..length).collect();
                 Ok(self.reply())
@@ -106,7 +111,7 @@
         }
     }
 
-    /// How long the body is, as far as the answer tells, in bytes.
+    /// Returns the length of the body in bytes, if the response states it.
     pub fn length(&self) -> Option<usize> {
         match self.head.as_ref()?.length {
             Length::Fixed(length) => Some(length),
@@ -114,10 +119,10 @@
         }
     }
 
-    /// The connection has ended; an answer without a length is whole now.
+    /// Handles the end of the connection, which completes a response without a stated length.
     ///
     /// # Errors
-    /// If the answer is not whole.
+    /// If the response is incomplete.
     pub fn end(&mut self) -> Result<Reply, ReplyError> {
         if self.head.as_ref().is_some_and(|head| head.length == Length::ToEnd) {
             self.body = std::mem::take(&mut self.buffer);
@@ -188,14 +193,14 @@
     number(digits.ok().filter(|digits| digits.len() == value.len())?, 10)
 }
 
-/// One chunk; an empty one is the last.
+/// Parses one chunk; an empty one is the last.
 fn chunk<'a>(input: &mut Input<'a>) -> Result<&'a [u8], Error> {
     let size = terminated(hex_digit1, (till_line_ending, line_ending)).parse_next(input)?;
-    let size = number(size, 16).filter(|size| *size <= BODY);
+    let size = number(size, 16).filter(|size| *size <= MAX_BODY_BYTES);
     let size = size.ok_or_else(|| winnow::error::ErrMode::Cut(ContextError::new()))?;
     let data: &[u8] = take(size).parse_next(input)?;
     if size == 0 {
-        // Trailers, then an empty line.
+        // Trailers follow, then an empty line.
         let trailer =
             (take_till(1.., |b: u8| b == b'\r' || b == b'\n'), line_ending).map(|_: (&[u8], &[u8])| ());
         let () = repeat(0.., trailer).parse_next(input)?;
--- a/src/drill.rs
+++ b/src/drill.rs
@@ -1,4 +1,7 @@
-//! The simulator's wire: JSON lines to events, actions to JSON lines, ids to numbers. No decisions.
+//! Adapter for the simulator's protocol: translates JSON lines to events, actions to JSON, and names to
+//! numbers.
+//!
+//! The protocol calls a node "relay".
 
 use crate::api::*;
 use crate::config::settings;
@@ -10,10 +13,10 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 
-/// The numbers that `LEDGER` may use.
-const LISTS: usize = 16;
+/// Number of backend lists that `LEDGER` can define, numbered from 0.
+const LIST_COUNT: usize = 16;
 
-/// What is wrong with a batch.
+/// A batch that can't be processed, with the reason.
 #[derive(Debug)]
 pub struct WireError(String);
 
@@ -25,7 +28,7 @@
 
 impl std::error::Error for WireError {}
 
-fn wrong(what: impl std::fmt::Display) -> WireError {
+fn wire_error(what: impl std::fmt::Display) -> WireError {
     WireError(what.to_string())
 }
 
@@ -229,34 +232,37 @@
     Named(&'static str),
 }
 
-/// A request whose id the relay still needs: not over, or with attempts that will report.
-struct Known {
+/// A request whose id is still needed: it is not over, or the results of attempts are outstanding.
+struct TrackedRequest {
     xid: String,
     over: bool,
-    out: u32,
+    attempts_in_flight: u32,
 }
 
-/// One relay's balancer with the maps between the wire's names and the module's numbers.
+/// One node's decisions, with the maps between the protocol's names and the decision module's numbers.
 struct Gateway {
     balancer: Balancer,
     load_field: Option<usize>,
     ids: HashMap<String, u64>,
-    requests: HashMap<u64, Known>,
+    requests: HashMap<u64, TrackedRequest>,
     backends: HashMap<u64, String>,
     next: u64,
 }
 
-/// All relays that this process hosts; they share nothing but the numbered lists of the wire.
+/// All nodes that this process simulates. They share only the numbered backend lists of the protocol.
 #[derive(Default)]
 pub struct Adapter {
-    lists: [Vec<Entry>; LISTS],
+    lists: [Vec<Entry>; LIST_COUNT],
     gateways: HashMap<String, Gateway>,
 }
 
 impl Adapter {
-    /// Takes one batch, a line of JSON, and returns the reply to it.
+    /// Processes one batch, a line of JSON, and returns the reply.
+    ///
+    /// # Errors
+    /// If the line is not a valid batch, or names a node that has not started or a list that does not exist.
     pub fn batch(&mut self, line: &[u8]) -> Result<String, WireError> {
-        let batch: Batch = serde_json::from_slice(line).map_err(wrong)?;
+        let batch: Batch = serde_json::from_slice(line).map_err(wire_error)?;
         let now = batch.now_ms;
         let mut output: Vec<(String, Value)> = Vec::new();
         let mut actions = Vec::new();
@@ -266,7 +272,7 @@
                     let slot = self
                         .lists
                         .get_mut(list)
-                        .ok_or_else(|| wrong(format!("list {list} is not in 0..15")))?;
+                        .ok_or_else(|| wire_error(format!("list {list} is not in 0..15")))?;
                     *slot = entries;
                     continue;
                 }
@@ -275,7 +281,7 @@
                     continue;
                 }
                 Item::Down { relay } => {
-                    // What the killed instance decided earlier in this batch names requests of its past life.
+                    // Actions from earlier in this batch refer to requests of the instance that was killed.
                     self.gateways.remove(&relay);
                     output.retain(|(owner, _)| *owner != relay);
                     continue;
@@ -286,8 +292,8 @@
                         (_, Some(list)) => self
                             .lists
                             .get(list)
-                            .ok_or_else(|| wrong(format!("list {list} is not in 0..15")))?,
-                        (_, None) => return Err(wrong("VIEW without list")),
+                            .ok_or_else(|| wire_error(format!("list {list} is not in 0..15")))?,
+                        (_, None) => return Err(wire_error("VIEW without list")),
                     };
                     let gateway = gateway(&mut self.gateways, &relay)?;
                     let event = gateway.view(&form, entries);
@@ -305,7 +311,8 @@
                     (ask.relay, Some(Event::Adopted { request, backend }))
                 }
                 Item::Memo { relay, who, body } => {
-                    let body = BASE64.decode(body).map_err(|error| wrong(format!("MEMO body: {error}")))?;
+                    let body =
+                        BASE64.decode(body).map_err(|error| wire_error(format!("MEMO body: {error}")))?;
                     (relay, Some(Event::PeerMessage { from: who, body }))
                 }
                 Item::Result(ended) => {
@@ -353,22 +360,22 @@
             }
             for action in actions.drain(..) {
                 if let Some(out) = gateway.out(&relay, action) {
-                    output.push((relay.clone(), serde_json::to_value(out).map_err(wrong)?));
+                    output.push((relay.clone(), serde_json::to_value(out).map_err(wire_error)?));
                 }
             }
         }
         let output: Vec<Value> = output.into_iter().map(|(_, action)| action).collect();
-        serde_json::to_string(&BTreeMap::from([("output", output)])).map_err(wrong)
+        serde_json::to_string(&BTreeMap::from([("output", output)])).map_err(wire_error)
     }
 
-    /// How many requests' ids are held for all relays.
+    /// Returns the number of request ids held for all nodes.
     pub fn held_ids(&self) -> usize {
         self.gateways.values().map(|gateway| gateway.requests.len()).sum()
     }
 }
 
 fn gateway<'a>(all: &'a mut HashMap<String, Gateway>, relay: &str) -> Result<&'a mut Gateway, WireError> {
-    all.get_mut(relay).ok_or_else(|| wrong(format!("event for {relay}, which has not started")))
+    all.get_mut(relay).ok_or_else(|| wire_error(format!("event for {relay}, which has not started")))
 }
 
 impl Gateway {
@@ -384,7 +391,7 @@
         }
     }
 
-    /// A backend's number is a hash of its name, so that it is the same at every relay.
+    /// Returns a backend's number: a hash of its name, so that it is the same at every node.
     fn backend(&mut self, name: &str) -> BackendId {
         let mut id = hash(name);
         while self.backends.get(&id).is_some_and(|known| known != name) {
@@ -394,11 +401,11 @@
         BackendId(id)
     }
 
-    fn request(&mut self, ask: &Ask, out: u32) -> Request {
+    fn request(&mut self, ask: &Ask, attempts_in_flight: u32) -> Request {
         let id = self.next;
         self.next += 1;
         self.ids.insert(ask.xid.clone(), id);
-        self.requests.insert(id, Known { xid: ask.xid.clone(), over: false, out });
+        self.requests.insert(id, TrackedRequest { xid: ask.xid.clone(), over: false, attempts_in_flight });
         Request {
             id: RequestId(id),
             tenant: TenantId(ask.owner),
@@ -465,12 +472,12 @@
         })
     }
 
-    /// Notes what ended of a request and frees its id once nothing can name it any more.
+    /// Records ended attempts of a request, and frees its id once no result can refer to it any more.
     fn settle(&mut self, id: u64, ended: u32, over: bool) {
         let Some(known) = self.requests.get_mut(&id) else { return };
-        known.out = known.out.saturating_sub(ended);
+        known.attempts_in_flight = known.attempts_in_flight.saturating_sub(ended);
         known.over |= over;
-        if known.over && known.out == 0 {
+        if known.over && known.attempts_in_flight == 0 {
             self.ids.remove(&known.xid);
             self.requests.remove(&id);
         }
@@ -489,7 +496,7 @@
             Action::Attempt { id, backend, timeout_ms } => {
                 let backend = self.name(backend)?;
                 let known = self.requests.get_mut(&id.0)?;
-                known.out += 1;
+                known.attempts_in_flight += 1;
                 Out::Deliver { relay, xid: known.xid.clone(), limit_ms: timeout_ms, backend }
             }
             Action::CancelAttempt { id, attempt } => {
--- a/src/drill/tests.rs
+++ b/src/drill/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Every action in the words of the wire.
+/// Checks the JSON form of every action.
 #[test]
 fn every_action_is_written() {
     let mut gateway = Gateway::new(&Value::Null, 1);
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -1,77 +1,84 @@
-//! Freshness of the list of pool members: whether what is known of them still holds, so that something new may be sent.
+//! The lease on the list of pool members: whether the list is fresh enough to send new connections by it.
 //!
-//! Whatever discovery has to tell counts as told 6 s after it had it and could be reached, whether it arrived or not, and nothing new
-//! may go to a member that drains or is gone for longer than the settings allow after that. So a list is a lease: it is renewed by
-//! each answer, and by each sign that discovery can't be reached; when it has run out the node can't know whom it may send to, and
-//! sends nothing until discovery has answered. The list that a process is started with carries no lease: it may be of any age.
+//! A change counts as known to the node 6 s after discovery had it and could be reached, whether it arrived
+//! or not. From then on new connections may go to a draining or removed member only for the grace that the
+//! settings allow. The list is therefore a lease. Each response renews it, and so does each sign that
+//! discovery can't be reached. Once it has expired the node can't know which members it may use, and sends
+//! nothing new until discovery has responded. The list that a process is started with carries no lease,
+//! because it may be of any age.
 //!
-//! Decides by values and time passed in; spans are of the caller's clock, which only goes forward.
+//! No I/O and no clock: times are passed in and are those of the caller's monotonic clock.
 
 use crate::api::Millis;
 
-/// A change counts as told so long after discovery had it and could be reached.
+/// A change counts as known to the node this long after discovery had it and could be reached.
 pub(crate) const CHANGE_KNOWN_AFTER_MS: Millis = 6_000.0;
-/// And so long after a new configuration named another discovery.
-const MOVED_MS: Millis = 4_000.0;
-/// The process may be held up for so long between reading its clock and writing, and timers and sockets take their time.
-const HELD_UP_MS: Millis = 250.0;
-/// A refusal by discovery that comes sooner than this after the call is no wait in line: it is down.
+/// The same delay after a new configuration has named another discovery service.
+const CHANGE_KNOWN_AFTER_SWITCH_MS: Millis = 4_000.0;
+/// Safety margin for delays between reading the clock and writing to a socket: scheduling, timers and
+/// sockets.
+const CLOCK_MARGIN_MS: Millis = 250.0;
+/// A refusal by discovery within this time of the call means that it is down; a later one may come from a
+/// full accept queue.
 pub const PROMPT_REFUSAL_MS: Millis = 1_000.0;
 
-/// The lease on the list at hand.
+/// The lease on the current list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
     until: Millis,
     length: Millis,
-    /// For how long something new may be sent after a change was told, as far as this process can be sure of its clock.
+    /// Time for which new connections may still be sent after a change counts as known, less the safety
+    /// margin.
     grace: Millis,
 }
 
 /// How a call to discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Discovery can't be reached, or says that it does not serve (503): it tells nobody anything.
+    /// Discovery can't be reached, or answers that it is unavailable (503): it informs no node of changes.
     Down,
-    /// It can be reached, but the call got no good answer: none came, it was cut, or it was answered badly.
+    /// Discovery can be reached, but the response was missing, truncated or invalid.
     Unanswered,
 }
 
 impl Lease {
-    /// A lease that never runs out: the list does not come from discovery.
+    /// Returns a lease that never expires, for a list that does not come from discovery.
     pub fn unlimited() -> Self {
         Lease { until: Millis::INFINITY, length: Millis::INFINITY, grace: Millis::INFINITY }
     }
 
-    /// None yet, where nothing new may go to a member for longer than `grace_ms` after a change counts as told.
+    /// Returns an expired lease. New connections may go to a member for at most `grace_ms` after a change
+    /// that excludes it counts as known.
     pub fn none(grace_ms: Millis) -> Self {
-        let grace = (grace_ms - HELD_UP_MS).max(0.0);
+        let grace = (grace_ms - CLOCK_MARGIN_MS).max(0.0);
         Lease { until: Millis::NEG_INFINITY, length: CHANGE_KNOWN_AFTER_MS + grace, grace }
     }
 
-    /// Discovery has answered: the list is as good as new.
+    /// Renews the lease: discovery has responded, so the list was current at this time.
     pub fn renew(&mut self, now: Millis) {
         self.until = self.until.max(now + self.length);
     }
 
-    /// An answer that began at this time can't be read, or has stood still since: what it has to tell counts as told as it was written,
-    /// whether or not it arrived.
+    /// Shortens the lease to the grace after `began`, when a response began that is invalid or has stalled
+    /// since. Its changes count as known from when they were written, whether they arrived or not.
     pub fn answer_invalid(&mut self, began: Millis) {
         self.until = self.until.min(began + self.grace);
     }
 
-    /// A call has failed. While discovery is down nothing counts as told.
+    /// Handles a failed call. The lease is renewed if discovery is down, as no change counts as known
+    /// meanwhile.
     pub fn call_failed(&mut self, now: Millis, failure: CallFailure) {
         if failure == CallFailure::Down {
             self.until = self.until.max(now + self.length);
         }
     }
 
-    /// Discovery is another one from now on: what it has counts as told sooner.
+    /// Shortens the lease after a switch to another discovery service, whose changes count as known sooner.
     pub fn discovery_changed(&mut self, now: Millis) {
-        self.until = self.until.min(now + self.length - CHANGE_KNOWN_AFTER_MS + MOVED_MS);
+        self.until = self.until.min(now + self.length - CHANGE_KNOWN_AFTER_MS + CHANGE_KNOWN_AFTER_SWITCH_MS);
     }
 
-    /// Whether something new may be sent by the list at hand.
+    /// Returns whether new connections may be sent by the current list.
     pub fn is_valid(&self, now: Millis) -> bool {
         now < self.until
     }
--- a/src/freshness/tests.rs
+++ b/src/freshness/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_list_holds_from_an_answer_until_a_change_would_count_as_told() {
+fn a_lease_is_valid_from_a_response_until_a_change_would_count_as_known() {
     let mut lease = Lease::none(750.0);
     assert!(!lease.is_valid(0.0), "the list that a process starts with may be of any age");
     lease.renew(1_000.0);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_list_holds_while_discovery_is_down_and_not_while_it_is_crowded() {
+fn a_lease_is_renewed_while_discovery_is_down_but_not_while_it_is_overloaded() {
     let mut lease = Lease::none(750.0);
     lease.call_failed(0.0, CallFailure::Unanswered);
     assert!(!lease.is_valid(0.0));
@@ -19,9 +19,10 @@
     assert!(lease.is_valid(8_000.0) && !lease.is_valid(8_500.0));
 }
 
-/// Guards against sends by a list that an answer has overtaken which came cut: what it told counts as told as it was written.
+/// Guards against sending by a list that a truncated response has superseded: the changes in the response
+/// count as known from when they were written.
 #[test]
-fn a_list_holds_only_for_the_grace_once_an_answer_came_spoilt() {
+fn a_lease_is_valid_only_for_the_grace_after_an_invalid_response_began() {
     let mut lease = Lease::none(750.0);
     lease.renew(1_000.0);
     lease.answer_invalid(2_000.0);
@@ -31,6 +32,6 @@
 }
 
 #[test]
-fn a_list_that_does_not_come_from_discovery_always_holds() {
+fn a_lease_on_a_list_from_elsewhere_never_expires() {
     assert!(Lease::unlimited().is_valid(1e15));
 }
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,4 +1,4 @@
-//! The pool as values: what discovery, the configuration or an inventory say of the pool members.
+//! Lists of pool members, as given by discovery, the configuration or an inventory.
 
 use crate::api::{BackendId, BackendInfo, Millis, Phase, ZoneId};
 use serde::Deserialize;
@@ -7,24 +7,24 @@
 /// One pool member as listed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, the same at every node and after a restart.
+    /// Its name: the same at every node, and unchanged by a restart.
     pub name: String,
-    /// Where it is dialled: an IP address and a port.
+    /// Address to connect to: an IP address and a port.
     pub dial: String,
-    /// Its zone, as a place in the configured zones.
+    /// Its zone, as an index in the configured zones.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// Its state.
+    /// Its phase.
     pub phase: Phase,
     /// Listed weight.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; `None` if long past.
+    /// When it last started, in Unix milliseconds; `None` if long ago.
     pub born: Option<Millis>,
 }
 
 impl Member {
-    /// The same in the decision module's terms, under the number that the pool gave it.
+    /// Converts the member to the decision module's form, under the number that the pool assigned to it.
     pub fn info(&self, id: BackendId) -> BackendInfo {
         BackendInfo {
             id,
@@ -40,22 +40,22 @@
 /// A list of pool members, or the changes to one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolList {
-    /// The list's version.
+    /// Version of the list.
     pub seq: u64,
-    /// All members; else only those that changed.
+    /// Whether the list contains all members; otherwise only changed ones.
     pub whole: bool,
     /// The members.
     pub members: Vec<Member>,
 }
 
 impl PoolList {
-    /// Whether it names no change to a list of this version.
+    /// Returns whether the list contains no change to a list of version `at_hand`.
     pub fn has_no_changes(&self, at_hand: u64) -> bool {
         !self.whole && self.members.is_empty() && self.seq >= at_hand
     }
 }
 
-/// What is wrong with a list.
+/// A list that can't be used, with the reason.
 #[derive(Debug, PartialEq)]
 pub struct ListError(pub String);
 
@@ -96,10 +96,10 @@
     Gone,
 }
 
-/// Decodes a list in discovery's form.
+/// Decodes a list in discovery's JSON format.
 ///
 /// # Errors
-/// If it is not JSON of that form, or if a member's address or zone is not one.
+/// If it is not JSON of that format, or if the address of a member that is not gone is invalid.
 pub fn decode(json: &[u8], zones: &[String]) -> Result<PoolList, ListError> {
     let raw: RawList = serde_json::from_slice(json).map_err(|error| ListError(error.to_string()))?;
     raw.list(zones)
@@ -119,7 +119,7 @@
             Health::Terminating => Phase::Draining,
             Health::Gone => Phase::Gone,
         };
-        // A member that is gone needs no address any more.
+        // A member that is gone needs no valid address.
         if phase != Phase::Gone {
             check_dial(&self.dial).map_err(|error| ListError(format!("host {}: {error}", self.host)))?;
         }
@@ -135,12 +135,13 @@
     }
 }
 
-/// The zone's place in the configured zones; one that is not configured is a zone apart, never our own.
+/// Returns the zone's index in the configured zones. All other zones share one further index, never this
+/// node's.
 pub fn zone_index(name: &str, zones: &[String]) -> u32 {
     zones.iter().position(|zone| zone == name).unwrap_or(zones.len()) as u32
 }
 
-/// Checks that an address can be dialled without DNS.
+/// Checks that an address can be connected to without DNS.
 ///
 /// # Errors
 /// If it is not an IP address with a port.
@@ -151,7 +152,7 @@
     }
 }
 
-/// FNV-1a with a final mix: the same number for a name at every node.
+/// Hashes a name with FNV-1a and a final mixing step; every node gets the same number for the same name.
 pub fn name_hash(name: &str) -> u64 {
     let fnv =
         name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
--- a/src/pool/tests.rs
+++ b/src/pool/tests.rs
@@ -4,7 +4,7 @@
     "health":"Terminating","share":1.5,"born_ms":17}"#;
 
 #[test]
-fn a_list_is_decoded_into_the_values_used() {
+fn a_list_is_decoded_into_its_members() {
     let zones = ["a".to_owned(), "b".to_owned()];
     let list = decode(format!(r#"{{"seq":4,"whole":true,"hosts":[{HOST}]}}"#).as_bytes(), &zones).unwrap();
     let member = &list.members[0];
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_bad_address_or_form_is_an_error_that_names_it() {
+fn a_bad_address_or_format_is_an_error_that_names_it() {
     let bad = HOST.replace("127.0.0.9:80", "db.example:80");
     let error = decode(format!(r#"{{"seq":4,"hosts":[{bad}]}}"#).as_bytes(), &[]).unwrap_err();
     assert!(error.0.contains("s-1") && error.0.contains("db.example:80"), "{error}");
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,50 +1,50 @@
-//! What the decision module holds and believes, to be looked at: nothing here decides or changes anything.
+//! Read-only views of the decision module's state, for the event log and metrics.
 
 use crate::api::*;
 use crate::state::{Balancer, TenantAccount};
 
-/// What the module holds of one member.
+/// What the decision module knows about one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberView {
-    /// Which.
+    /// Which member.
     pub member: BackendId,
-    /// Connections of this node there, and attempts on their way.
+    /// Connections and attempts of this node there.
     pub open: u32,
-    /// Last reported load over capacity, and the report's age.
+    /// Last reported load over capacity, and the report's age in milliseconds.
     pub report: Option<(f64, Millis)>,
-    /// Load over capacity at its last trouble, as far as it still counts.
+    /// Load over capacity at its last trouble, decaying over time.
     pub trouble: f64,
-    /// Part of its listed weight that it has in the round.
+    /// Its weight in the round robin, as a fraction of its listed weight.
     pub weight: f64,
-    /// Part warmed up.
+    /// Warmed-up share of its capacity.
     pub warmth: f64,
-    /// For how long it is still avoided; 0 if it is not.
+    /// Remaining time of its pause after a failure; 0 if it is not paused.
     pub avoided_ms: Millis,
     /// Failures in a row.
     pub fails: u32,
 }
 
-/// A tenant's figures of the last interval.
+/// A tenant's demand and limits as of the last interval, and its current connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantView {
-    /// Which.
+    /// Which tenant.
     pub tenant: TenantId,
-    /// Load asked for.
+    /// Load requested.
     pub demand: f64,
-    /// Load expected.
+    /// Load expected in the next interval.
     pub forecast: f64,
-    /// Load that it may have.
+    /// Load that the tenant may have.
     pub budget: f64,
-    /// Connections that it may have.
+    /// Connections that the tenant may have.
     pub limit: f64,
-    /// Connections that it has.
+    /// Connections that are open or being attempted.
     pub open: u32,
-    /// Transactions in its queue, some of which may have left.
+    /// Transactions in its queue, including some whose clients may have left.
     pub queued: usize,
 }
 
 impl Balancer {
-    /// What is held of the members that are listed or hold connections.
+    /// Returns the members that are listed or hold connections.
     pub fn member_views(&self, now: Millis) -> impl Iterator<Item = MemberView> + '_ {
         self.backends.iter().map(move |(&member, record)| MemberView {
             member,
@@ -58,7 +58,7 @@
         })
     }
 
-    /// The tenants that have been heard of.
+    /// Returns the tenants that have sent requests.
     pub fn tenant_views(&self) -> impl Iterator<Item = TenantView> + '_ {
         self.tenants.iter().map(|(&tenant, account)| TenantView {
             tenant,
@@ -72,6 +72,7 @@
     }
 }
 
+/// Returns the tenant's connection limit, or 0 before its first request.
 fn limit(account: &TenantAccount) -> f64 {
     if account.least_load > 0.0 { (account.budget / account.least_load).round().max(1.0) } else { 0.0 }
 }
