--- a/src/api.rs
+++ b/src/api.rs
@@ -128,7 +128,7 @@
     Live,
 }
 
-/// The settings of one node. "Balancer" and "gateway" mean the node, as in the outer settings.
+/// The settings of one node, which the field names call a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of nodes that share the pool, this one included.
@@ -151,7 +151,7 @@
     pub discovery_poll_ms: Millis,
     /// Whether probes are allowed.
     pub probing: bool,
-    /// Cost of one probe for each request, in points of the result (the simulator's score).
+    /// Cost of one probe for each request, in points of the overall result.
     pub probe_price: f64,
     /// Whether attempts can be cancelled.
     pub cancel: bool,
--- a/src/drill.rs
+++ b/src/drill.rs
@@ -240,7 +240,7 @@
 }
 
 /// One node's decisions, with the maps between the protocol's names and the decision module's numbers.
-struct Gateway {
+struct Node {
     balancer: Balancer,
     load_field: Option<usize>,
     ids: HashMap<String, u64>,
@@ -253,7 +253,7 @@
 #[derive(Default)]
 pub struct Adapter {
     lists: [Vec<Entry>; LIST_COUNT],
-    gateways: HashMap<String, Gateway>,
+    nodes: HashMap<String, Node>,
 }
 
 impl Adapter {
@@ -277,12 +277,12 @@
                     continue;
                 }
                 Item::Start { relay, entropy, setup } => {
-                    self.gateways.insert(relay, Gateway::new(&setup, entropy));
+                    self.nodes.insert(relay, Node::new(&setup, entropy));
                     continue;
                 }
                 Item::Down { relay } => {
                     // Actions from earlier in this batch refer to requests of the instance that was killed.
-                    self.gateways.remove(&relay);
+                    self.nodes.remove(&relay);
                     output.retain(|(owner, _)| *owner != relay);
                     continue;
                 }
@@ -295,19 +295,19 @@
                             .ok_or_else(|| wire_error(format!("list {list} is not in 0..15")))?,
                         (_, None) => return Err(wire_error("VIEW without list")),
                     };
-                    let gateway = gateway(&mut self.gateways, &relay)?;
-                    let event = gateway.view(&form, entries);
+                    let node = node(&mut self.nodes, &relay)?;
+                    let event = node.list_event(&form, entries);
                     (relay, Some(event))
                 }
                 Item::Ask(ask) => {
-                    let gateway = gateway(&mut self.gateways, &ask.relay)?;
-                    let request = gateway.request(&ask, 0);
+                    let node = node(&mut self.nodes, &ask.relay)?;
+                    let request = node.request(&ask, 0);
                     (ask.relay, Some(Event::Request(request)))
                 }
                 Item::TakenOver(TakenOver { ask, backend }) => {
-                    let gateway = gateway(&mut self.gateways, &ask.relay)?;
-                    let backend = gateway.backend(&backend);
-                    let request = gateway.request(&ask, 1);
+                    let node = node(&mut self.nodes, &ask.relay)?;
+                    let backend = node.backend(&backend);
+                    let request = node.request(&ask, 1);
                     (ask.relay, Some(Event::Adopted { request, backend }))
                 }
                 Item::Memo { relay, who, body } => {
@@ -316,35 +316,35 @@
                     (relay, Some(Event::PeerMessage { from: who, body }))
                 }
                 Item::Result(ended) => {
-                    let gateway = gateway(&mut self.gateways, &ended.relay)?;
-                    let event = gateway.ended(&ended);
+                    let node = node(&mut self.nodes, &ended.relay)?;
+                    let event = node.ended(&ended);
                     (ended.relay, event)
                 }
                 Item::Pong { relay, code, backend, pressure } => {
-                    let gateway = gateway(&mut self.gateways, &relay)?;
-                    let backend = gateway.backend(&backend);
-                    let report = gateway.report(&pressure);
+                    let node = node(&mut self.nodes, &relay)?;
+                    let backend = node.backend(&backend);
+                    let report = node.report(&pressure);
                     (relay, Some(Event::ProbeEnded { backend, outcome: code.into(), report }))
                 }
                 Item::ClientLeft { relay, xid } => {
-                    let gateway = gateway(&mut self.gateways, &relay)?;
-                    let event = gateway.ids.get(&xid).map(|&id| Event::ClientGone { id: RequestId(id) });
+                    let node = node(&mut self.nodes, &relay)?;
+                    let event = node.ids.get(&xid).map(|&id| Event::ClientGone { id: RequestId(id) });
                     if let Some(Event::ClientGone { id }) = event {
-                        gateway.settle(id.0, 0, true);
+                        node.settle(id.0, 0, true);
                     }
                     (relay, event)
                 }
                 Item::Begun(begun) => {
-                    let gateway = gateway(&mut self.gateways, &begun.relay)?;
-                    let id = gateway.ids.get(&begun.xid);
+                    let node = node(&mut self.nodes, &begun.relay)?;
+                    let id = node.ids.get(&begun.xid);
                     let event =
                         id.map(|&id| Event::Established { id: RequestId(id), took_ms: begun.took_ms });
                     (begun.relay, event)
                 }
                 Item::StatusNote { relay, xid, amount, backend, what } => {
-                    let gateway = gateway(&mut self.gateways, &relay)?;
-                    let backend = gateway.backend(&backend);
-                    let id = gateway.ids.get(&xid);
+                    let node = node(&mut self.nodes, &relay)?;
+                    let backend = node.backend(&backend);
+                    let id = node.ids.get(&xid);
                     let event = match what {
                         1 => id.map(|&id| Event::LoadChanged { id: RequestId(id), load: amount }),
                         2 => Some(Event::MessageDelay { backend, took_ms: amount }),
@@ -354,12 +354,12 @@
                 }
                 Item::DeadlineHit { relay, tag } => (relay, Some(Event::Timer(TimerId(tag)))),
             };
-            let gateway = gateway(&mut self.gateways, &relay)?;
+            let node = node(&mut self.nodes, &relay)?;
             if let Some(event) = event {
-                gateway.balancer.handle(now, event, &mut actions);
+                node.balancer.handle(now, event, &mut actions);
             }
             for action in actions.drain(..) {
-                if let Some(out) = gateway.out(&relay, action) {
+                if let Some(out) = node.encode_action(&relay, action) {
                     output.push((relay.clone(), serde_json::to_value(out).map_err(wire_error)?));
                 }
             }
@@ -370,18 +370,18 @@
 
     /// Returns the number of request ids held for all nodes.
     pub fn held_ids(&self) -> usize {
-        self.gateways.values().map(|gateway| gateway.requests.len()).sum()
+        self.nodes.values().map(|node| node.requests.len()).sum()
     }
 }
 
-fn gateway<'a>(all: &'a mut HashMap<String, Gateway>, relay: &str) -> Result<&'a mut Gateway, WireError> {
+fn node<'a>(all: &'a mut HashMap<String, Node>, relay: &str) -> Result<&'a mut Node, WireError> {
     all.get_mut(relay).ok_or_else(|| wire_error(format!("event for {relay}, which has not started")))
 }
 
-impl Gateway {
+impl Node {
     fn new(setup: &Value, entropy: u64) -> Self {
         let fields = setup.pointer("/report/fields").and_then(Value::as_array);
-        Gateway {
+        Node {
             balancer: Balancer::new(settings(setup), entropy),
             load_field: fields.and_then(|fields| fields.iter().position(|field| field == "x0")),
             ids: HashMap::new(),
@@ -418,7 +418,7 @@
         }
     }
 
-    fn view(&mut self, form: &Form, entries: &[Entry]) -> Event {
+    fn list_event(&mut self, form: &Form, entries: &[Entry]) -> Event {
         let scope = match form {
             Form::Broken => return Event::DiscoveryFailed,
             Form::Patch => ListScope::Patch,
@@ -487,14 +487,14 @@
         Some(self.requests.get(&id.0)?.xid.clone())
     }
 
-    fn name(&self, backend: BackendId) -> Option<String> {
+    fn backend_name(&self, backend: BackendId) -> Option<String> {
         self.backends.get(&backend.0).cloned()
     }
 
-    fn out<'a>(&mut self, relay: &'a str, action: Action) -> Option<Out<'a>> {
+    fn encode_action<'a>(&mut self, relay: &'a str, action: Action) -> Option<Out<'a>> {
         Some(match action {
             Action::Attempt { id, backend, timeout_ms } => {
-                let backend = self.name(backend)?;
+                let backend = self.backend_name(backend)?;
                 let known = self.requests.get_mut(&id.0)?;
                 known.attempts_in_flight += 1;
                 Out::Deliver { relay, xid: known.xid.clone(), limit_ms: timeout_ms, backend }
@@ -513,11 +513,11 @@
                 self.settle(id.0, 0, true);
                 Out::Surrender { relay, xid }
             }
-            Action::Probe { backend } => Out::Test { relay, backend: self.name(backend)? },
+            Action::Probe { backend } => Out::Test { relay, backend: self.backend_name(backend)? },
             Action::SetTimer { at, id } => Out::Remind { relay, time_ms: at, tag: id.0 },
             Action::Subscribe { on } => Out::Observe { relay, enable: on },
             Action::FetchList => Out::Resolve { relay },
-            Action::CloseIdle { backend } => Out::HangUp { relay, backend: self.name(backend)? },
+            Action::CloseIdle { backend } => Out::HangUp { relay, backend: self.backend_name(backend)? },
             Action::SendToPeer { peer, body } => Out::MemoTo {
                 relay,
                 peer: peer.map_or(Peer::Named("all"), Peer::One),
--- a/src/drill/tests.rs
+++ b/src/drill/tests.rs
@@ -3,10 +3,10 @@
 /// Checks the JSON form of every action.
 #[test]
 fn every_action_is_written() {
-    let mut gateway = Gateway::new(&Value::Null, 1);
-    let backend = gateway.backend("b:1");
+    let mut node = Node::new(&Value::Null, 1);
+    let backend = node.backend("b:1");
     let ask = r#"{"relay":"r","xid":"x","graceMs":9.0}"#;
-    let id = gateway.request(&serde_json::from_str(ask).unwrap(), 1).id;
+    let id = node.request(&serde_json::from_str(ask).unwrap(), 1).id;
     for (action, line) in [
         (
             Action::Attempt { id, backend, timeout_ms: 80.0 },
@@ -35,7 +35,7 @@
         (Action::Log("up".into()), r#"{"PRINT":{"relay":"r","what":"up"}}"#),
         (Action::Fault("bad".into()), r#"{"CRASH":{"relay":"r","what":"bad"}}"#),
     ] {
-        let out = gateway.out("r", action).expect(line);
+        let out = node.encode_action("r", action).expect(line);
         assert_eq!(serde_json::to_string(&out).unwrap(), line);
     }
 }
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -18,15 +18,15 @@
 /// Safety margin for delays between reading the clock and writing to a socket: scheduling, timers and
 /// sockets.
 const CLOCK_MARGIN_MS: Millis = 250.0;
-/// A refusal by discovery within this time of the call means that it is down; a later one may come from a
-/// full accept queue.
+/// A refusal by discovery within this time of the call means that it is down; a later one may come after a wait in
+/// line and says nothing about its state.
 pub const PROMPT_REFUSAL_MS: Millis = 1_000.0;
 
 /// The lease on the current list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    until: Millis,
-    length: Millis,
+    expires_at: Millis,
+    duration: Millis,
     /// Time for which new connections may still be sent after a change counts as known, less the safety
     /// margin.
     grace: Millis,
@@ -44,43 +44,44 @@
 impl Lease {
     /// Returns a lease that never expires, for a list that does not come from discovery.
     pub fn unlimited() -> Self {
-        Lease { until: Millis::INFINITY, length: Millis::INFINITY, grace: Millis::INFINITY }
+        Lease { expires_at: Millis::INFINITY, duration: Millis::INFINITY, grace: Millis::INFINITY }
     }
 
     /// Returns an expired lease. New connections may go to a member for at most `grace_ms` after a change
     /// that excludes it counts as known.
     pub fn none(grace_ms: Millis) -> Self {
         let grace = (grace_ms - CLOCK_MARGIN_MS).max(0.0);
-        Lease { until: Millis::NEG_INFINITY, length: CHANGE_KNOWN_AFTER_MS + grace, grace }
+        Lease { expires_at: Millis::NEG_INFINITY, duration: CHANGE_KNOWN_AFTER_MS + grace, grace }
     }
 
     /// Renews the lease: discovery has responded, so the list was current at this time.
     pub fn renew(&mut self, now: Millis) {
-        self.until = self.until.max(now + self.length);
+        self.expires_at = self.expires_at.max(now + self.duration);
     }
 
     /// Shortens the lease to the grace after `began`, when a response began that is invalid or has stalled
     /// since. Its changes count as known from when they were written, whether they arrived or not.
     pub fn answer_invalid(&mut self, began: Millis) {
-        self.until = self.until.min(began + self.grace);
+        self.expires_at = self.expires_at.min(began + self.grace);
     }
 
     /// Handles a failed call. The lease is renewed if discovery is down, as no change counts as known
     /// meanwhile.
     pub fn call_failed(&mut self, now: Millis, failure: CallFailure) {
         if failure == CallFailure::Down {
-            self.until = self.until.max(now + self.length);
+            self.expires_at = self.expires_at.max(now + self.duration);
         }
     }
 
     /// Shortens the lease after a switch to another discovery service, whose changes count as known sooner.
     pub fn discovery_changed(&mut self, now: Millis) {
-        self.until = self.until.min(now + self.length - CHANGE_KNOWN_AFTER_MS + CHANGE_KNOWN_AFTER_SWITCH_MS);
+        self.expires_at =
+            self.expires_at.min(now + self.duration - CHANGE_KNOWN_AFTER_MS + CHANGE_KNOWN_AFTER_SWITCH_MS);
     }
 
     /// Returns whether new connections may be sent by the current list.
     pub fn is_valid(&self, now: Millis) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 }
 
--- a/src/logic/budget.rs
+++ b/src/logic/budget.rs
@@ -18,8 +18,8 @@
 pub(super) const TARGET_LOAD: f64 = 0.9;
 /// Upper bound of a tenant's excess, the integral term E of the pacing delay. It prevents integral wind-up.
 const MAX_EXCESS_BUDGET_SECONDS: f64 = 2.0;
-/// In a shortage the learned capacity drops below the load carried now by this fraction times the troubled
-/// share.
+/// Cut in a shortage: learned capacity drops below the load carried now by this fraction times the share in
+/// trouble. In a severe shortage it follows the measured overload instead.
 const MAX_CAPACITY_CUT: f64 = 0.1;
 /// Share of the observed capacity that must be in trouble to count as a shortage.
 const SHORTAGE_TROUBLED_SHARE: f64 = 0.3;
@@ -27,8 +27,8 @@
 pub(super) const SEVERE_SHORTAGE_CALM_SHARE: f64 = 0.3;
 /// Growth of the learned capacity without load reports, as a fraction per second.
 const CAPACITY_RECOVERY_PER_SECOND: f64 = 0.05;
-/// Fraction of the gap to the claimed capacity that is closed each interval, upwards and downwards. Small
-/// steps upwards, because many nodes react to the same report.
+/// Fractions of the gap to the claimed capacity that are closed each interval, upwards and downwards. The gap
+/// is not closed at once because many nodes react to the same report.
 const CLAIM_STEP_UP: f64 = 0.1;
 const CLAIM_STEP_DOWN: f64 = 0.4;
 /// Upward step while more than [`MOSTLY_CALM_SHARE`] of the observed capacity shows no trouble.
@@ -125,13 +125,13 @@
             }
         }
         let new = !self.has_adopted && self.started.is_some_and(|at| now - at < NEWCOMER_QUOTA_MS);
-        let least = if new { self.settings.quota_per_node() } else { 0.0 };
-        let open = self.tenants.values().map(|account| account.load).sum::<f64>().max(least);
+        let min_open = if new { self.settings.quota_per_node() } else { 0.0 };
+        let open = self.tenants.values().map(|account| account.load).sum::<f64>().max(min_open);
         let reported_load = self.mean_report(now, REPORT_DECAY_MS);
         self.mean_load = reported_load.map(|(mean, _)| mean);
         if let Some((mean, fresh)) = reported_load {
-            let own = open.max(self.settings.quota_per_node() / 4.0);
-            let claim = own / weight * TARGET_LOAD / mean.max(0.05);
+            let own_load = open.max(self.settings.quota_per_node() / 4.0);
+            let claim = own_load / weight * TARGET_LOAD / mean.max(0.05);
             // With spare capacity a drop of this node's load means that clients disconnected and will
             // reconnect, not that capacity was lost.
             let down = if mean < SPARE_CAPACITY_LOAD { 0.0 } else { CLAIM_STEP_DOWN };
@@ -147,12 +147,12 @@
         if self.calm_share < 1.0 - SHORTAGE_TROUBLED_SHARE
             && self.mean_load.is_none_or(|mean| mean > SPARE_CAPACITY_LOAD)
         {
-            let back = if self.calm_share < SEVERE_SHORTAGE_CALM_SHARE {
+            let load_factor = if self.calm_share < SEVERE_SHORTAGE_CALM_SHARE {
                 TARGET_LOAD * trouble / pressure
             } else {
                 1.0 - MAX_CAPACITY_CUT * (1.0 - self.calm_share)
             };
-            self.capacity_per_weight = self.capacity_per_weight.min(open / weight * back);
+            self.capacity_per_weight = self.capacity_per_weight.min(open / weight * load_factor);
         }
         self.update_rates(now, weight, INTERVAL_MS, self.calm_share < 1.0 - SHORTAGE_TROUBLED_SHARE);
     }
--- a/src/logic/discovery.rs
+++ b/src/logic/discovery.rs
@@ -27,7 +27,7 @@
         let known = self.listed_weight;
         self.merge(now, scope, entries);
         if scope != ListScope::Stale && !std::mem::replace(&mut self.discovery_answered, true) {
-            self.capacity_by_known_list(known);
+            self.rescale_start_up_capacity(known);
         }
         self.update_weights(now);
         let weight = self.usable_weight(now);
@@ -44,7 +44,7 @@
     /// The start-up list may name only few of the backends. The capacity assigned to it is this node's part
     /// of the whole pool, so that the complete list spreads it and does not add to it. Where the start-up
     /// list named most backends, the rest is a change like any other.
-    fn capacity_by_known_list(&mut self, known_weight: f64) {
+    fn rescale_start_up_capacity(&mut self, known_weight: f64) {
         if known_weight > 0.0 && known_weight < self.listed_weight * MIN_KNOWN_LIST_SHARE {
             self.capacity_per_weight *= known_weight / self.listed_weight;
         }
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -32,8 +32,14 @@
         }
     }
 
-    /// Updates a backend's health after an attempt, a connection (`stood`: it was established) or a probe.
-    pub(super) fn record_outcome(&mut self, now: Millis, backend: BackendId, outcome: Outcome, stood: bool) {
+    /// Updates a backend's health after an attempt, a connection (`was_open`: it was established) or a probe.
+    pub(super) fn record_outcome(
+        &mut self,
+        now: Millis,
+        backend: BackendId,
+        outcome: Outcome,
+        was_open: bool,
+    ) {
         let jitter = 0.75 + draw(&mut self.rng) / 2.0;
         let Some(record) = self.backends.get_mut(&backend) else { return };
         use Outcome::{Error, Full, Reset, TimedOut};
@@ -49,7 +55,7 @@
                 record.connect_failures += 1;
                 record.pause_after_failure(now, jitter)
             }
-            Outcome::Reset if stood => {
+            Outcome::Reset if was_open => {
                 record.resets += 1;
                 // Most of its connections broke at once: the process died, even if it is still listed.
                 if record.resets >= 2 && record.resets >= record.open {
@@ -73,8 +79,7 @@
 }
 
 impl BackendRecord {
-    /// Returns the load over capacity estimated from reports and message delays, and its confidence from 0 to
-    /// 1.
+    /// Returns the load over capacity estimated from reports and message delays, and a confidence of 0 to 1.
     pub(super) fn load_estimate(&self, now: Millis) -> Option<(f64, f64)> {
         let note = self.delay_note(now);
         // Adds connections placed since the report and subtracts those that have ended.
--- a/src/logic/limit.rs
+++ b/src/logic/limit.rs
@@ -10,10 +10,10 @@
 
 impl Balancer {
     /// Queues a new request and releases it at once if its tenant's limit and pacing allow it.
-    pub(super) fn arrived(&mut self, now: Millis, request: Request, out: &mut Actions) {
+    pub(super) fn request_arrived(&mut self, now: Millis, request: Request, out: &mut Actions) {
         let grace = if request.grace_ms.is_finite() { request.grace_ms.max(0.0) } else { 0.0 };
         let new = !self.tenants.contains_key(&request.tenant);
-        self.enter(now, request, now + grace);
+        self.create_entry(now, request, now + grace);
         if new {
             self.assign_budgets(now);
         }
@@ -31,7 +31,7 @@
     }
 
     /// Creates the request's entry and updates its tenant's contract, priority and least load.
-    pub(super) fn enter(&mut self, now: Millis, request: Request, deadline: Millis) {
+    pub(super) fn create_entry(&mut self, now: Millis, request: Request, deadline: Millis) {
         let (class, request) = (self.settings.class(request.class), self.normalize_hint(request));
         let account = self.tenants.entry(request.tenant).or_default();
         (account.last_active, account.contract) = (now, self.settings.contract(request.tenant));
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -43,7 +43,7 @@
         match event {
             Event::Backends { scope, entries } => self.list_received(now, scope, entries, out),
             Event::DiscoveryFailed => self.discovery_failed(now, out),
-            Event::Request(request) => self.arrived(now, request, out),
+            Event::Request(request) => self.request_arrived(now, request, out),
             Event::Adopted { request, backend } => self.adopted(now, request, backend),
             Event::Established { id, .. } => self.established(now, id),
             Event::Ended { id, backend, outcome, closed, report, .. } => {
@@ -54,7 +54,7 @@
                 self.record_report(now, backend, report);
                 self.record_outcome(now, backend, outcome, false)
             }
-            Event::ClientGone { id } => self.departed(id, out),
+            Event::ClientGone { id } => self.client_gone(id, out),
             Event::LoadChanged { id, load } => self.load_changed(id, load),
             Event::MessageDelay { backend, took_ms } => self.message_delay(now, backend, took_ms),
             Event::PeerMessage { .. } => {}
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -13,8 +13,7 @@
 /// below [`BUSY_LOAD`]. Fewer turns would spread a group over more backends, and each of them carries the
 /// group's shared work once more.
 const AFFINITY_TURNS: f64 = 8.0;
-/// Share of its weight that a loaded backend keeps, so that some requests still show whether it has
-/// recovered.
+/// Share of its weight that an overloaded backend keeps, so that requests still show if it has recovered.
 const MIN_ROOM: f64 = 0.05;
 /// Share of a request's remaining time that one attempt may take while there is another backend to try.
 const ATTEMPT_TIME_SHARE: f64 = 0.4;
@@ -57,8 +56,8 @@
     /// preferred, then this node's zone, then the group's rendezvous place, which is the same at every node
     /// and follows warm capacity.
     ///
-    /// A request gets one random chance to go to a backend in slow start. If it fails, a warm backend is
-    /// selected.
+    /// A request gets one random chance to go to a backend in slow start. After that only warm backends are
+    /// considered.
     pub(super) fn pick(&mut self, now: Millis, id: RequestId) -> Option<BackendId> {
         let entry = self.entries.get(&id)?;
         let by_key = if self.settings.mode == Mode::PassThrough { entry.request.key } else { None };
@@ -152,8 +151,7 @@
         Some(*next.0)
     }
 
-    /// Advances virtual time to the earliest turn among the ready backends and schedules this backend's next
-    /// turn.
+    /// Advances virtual time to the earliest turn of a ready backend, and schedules this backend's next turn.
     fn take_turn(&mut self, backend: BackendId) -> BackendId {
         let turns = self
             .backends
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -10,7 +10,7 @@
     /// Records a connection that was open through this node before it started.
     pub(super) fn adopted(&mut self, now: Millis, request: Request, backend: BackendId) {
         self.has_adopted = true; // not a new node: the adopted connections count as its load
-        self.enter(now, request, f64::INFINITY);
+        self.create_entry(now, request, f64::INFINITY);
         if let Some(entry) = self.entries.get_mut(&request.id) {
             (entry.state, entry.backend, entry.attempts) = (State::Open, Some(backend), 1);
         }
@@ -40,25 +40,25 @@
         out: &mut Actions,
     ) {
         let Some(entry) = self.entries.get(&id).filter(|e| e.state >= State::InFlight) else { return };
-        let (tenant, left, stood) = (entry.request.tenant, entry.client_left, entry.state == State::Open);
+        let (tenant, left, was_open) = (entry.request.tenant, entry.client_left, entry.state == State::Open);
         self.account_connection(id, -1);
-        // An error may be the request's own fault: it counts against the backend only once another one serves
-        // it.
-        let error = how == Outcome::Error && !stood;
+        // An error may be the request's own fault, so it counts against the backend only if another backend
+        // serves the request later.
+        let error = how == Outcome::Error && !was_open;
         if !error {
-            self.record_outcome(now, at, how, stood);
+            self.record_outcome(now, at, how, was_open);
         }
         let info = self.backends.get(&at).map(|s| s.info);
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.backend = None;
         entry.errored_on.extend(error.then_some(at));
-        let hopeless = entry.errored_on.len() >= MAX_ERROR_ANSWERS;
+        let too_many_errors = entry.errored_on.len() >= MAX_ERROR_ANSWERS;
         if !matches!(how, Outcome::Full | Outcome::Unreachable | Outcome::NotSent) {
             entry.may_have_run = entry.may_have_run.or(info.map(|info| (info, entry.sent_at)));
         }
         if over || left {
             self.entries.remove(&id);
-        } else if hopeless {
+        } else if too_many_errors {
             self.finish(now, id, out);
         } else {
             self.admit(now, id, out);
@@ -66,9 +66,8 @@
         self.release(now, tenant, out);
     }
 
-    /// Handles a client that left: forgets a request that is not sent, cancels an attempt if that is
-    /// possible.
-    pub(super) fn departed(&mut self, id: RequestId, out: &mut Actions) {
+    /// Handles a client that left: forgets a request that was not sent, or cancels its attempt if allowed.
+    pub(super) fn client_gone(&mut self, id: RequestId, out: &mut Actions) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.client_left = true;
         if entry.state < State::InFlight {
@@ -78,8 +77,8 @@
         }
     }
 
-    /// Gives the final answer to a request without an attempt in flight: refused if a retry is harmless, else
-    /// failed.
+    /// Gives the final answer to a request without an attempt in flight: refused if a retry is harmless,
+    /// otherwise failed.
     pub(super) fn finish(&mut self, now: Millis, id: RequestId, out: &mut Actions) {
         let Some(entry) = self.entries.remove(&id) else { return };
         let effect = self.settings.class(entry.request.class).effect;
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -103,12 +103,12 @@
         let near = record.info.zone == self.settings.zone;
         let serves =
             |s: &BackendRecord| s.info.phase == Phase::Serving && (s.info.zone == self.settings.zone) == near;
-        let kind = || self.backends.iter().filter(|(_, s)| serves(s));
-        let all: f64 = kind().map(|(_, s)| s.size()).sum();
+        let same_side = || self.backends.iter().filter(|(_, s)| serves(s));
+        let all: f64 = same_side().map(|(_, s)| s.size()).sum();
         let prior = if all > 0.0 { record.size() / all } else { 1.0 };
         let prefers = |key: &&u64| {
-            let its = place(**key ^ to.0, record.size());
-            !kind().any(|(id, other)| *id != to && place(**key ^ id.0, other.size()) < its)
+            let rank = place(**key ^ to.0, record.size());
+            !same_side().any(|(id, other)| *id != to && place(**key ^ id.0, other.size()) < rank)
         };
         let count = self.slow_start.keys.iter().filter(prefers).count() as f64;
         let others = self.slow_start.keys.len().saturating_sub(1) as f64;
--- a/src/state.rs
+++ b/src/state.rs
@@ -201,9 +201,9 @@
     /// Total listed weight of the serving backends, including cold and paused ones.
     pub(crate) listed_weight: f64,
     pub(crate) entries: BTreeMap<RequestId, Entry>,
-    /// Mean work of a connection by class, from load changes, in microseconds a second.
+    /// Smoothed work of a connection by class, from load changes, in microseconds a second.
     pub(crate) class_work: Vec<f64>,
-    /// Mean load hint, and the number of hints it is averaged over.
+    /// Mean load hint, and the number of hints it is averaged over (at most `MAX_HINT_SAMPLES`).
     pub(crate) usual_hint: f64,
     pub(crate) hint_samples: f64,
     /// Mean reported load over capacity.
@@ -214,7 +214,7 @@
     pub(crate) capacity_per_weight: f64,
     /// Virtual time of the weighted round robin.
     pub(crate) virtual_time: f64,
-    /// New connections that a unit of weight receives from this node in a millisecond.
+    /// Smoothed rate of new connections from this node for each unit of weight, per millisecond.
     pub(crate) intake_per_weight: f64,
     /// Connections established since the last interval.
     pub(crate) placed_in_interval: f64,
