--- a/src/drill.rs
+++ b/src/drill.rs
@@ -242,10 +242,14 @@
 /// One node's decisions, with the maps between the protocol's names and the decision module's numbers.
 struct Node {
     balancer: Balancer,
+    /// Position of the load over capacity (`x0`) in a load report.
     load_field: Option<usize>,
+    /// Numbers of the protocol's request ids.
     ids: HashMap<String, u64>,
     requests: HashMap<u64, TrackedRequest>,
+    /// Names of the backends, by number.
     backends: HashMap<u64, String>,
+    /// Number of the next request.
     next: u64,
 }
 
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -18,8 +18,8 @@
 /// Safety margin for delays between reading the clock and writing to a socket: scheduling, timers and
 /// sockets.
 const CLOCK_MARGIN_MS: Millis = 250.0;
-/// A refusal by discovery within this time of the call means that it is down; a later one may come after a wait in
-/// line and says nothing about its state.
+/// A refusal by discovery within this time of the call means that it is down. A later one may come after a
+/// wait in its queue, and does not count as down.
 pub const PROMPT_REFUSAL_MS: Millis = 1_000.0;
 
 /// The lease on the current list.
