--- a/src/drill.rs
+++ b/src/drill.rs
@@ -1,4 +1,7 @@
-//! The simulator's wire: JSON lines to events, actions to JSON lines, ids to numbers. No decisions.
+//! Adapter for the simulator's protocol: translates JSON lines to events, actions to JSON, and names to
+//! numbers.
+//!
+//! The protocol calls a node "relay".
 
 use crate::api::*;
 use crate::config::settings;
@@ -10,10 +13,10 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 
-/// The numbers that `LEDGER` may use.
-const LISTS: usize = 16;
+/// Number of backend lists that `LEDGER` can define, numbered from 0.
+const LIST_COUNT: usize = 16;
 
-/// What is wrong with a batch.
+/// A batch that can't be processed, with the reason.
 #[derive(Debug)]
 pub struct WireError(String);
 
@@ -25,7 +28,7 @@
 
 impl std::error::Error for WireError {}
 
-fn wrong(what: impl std::fmt::Display) -> WireError {
+fn wire_error(what: impl std::fmt::Display) -> WireError {
     WireError(what.to_string())
 }
 
@@ -229,34 +232,41 @@
     Named(&'static str),
 }
 
-/// A request whose id the relay still needs: not over, or with attempts that will report.
-struct Known {
+/// A request whose id is still needed: it is not over, or the results of attempts are outstanding.
+struct TrackedRequest {
     xid: String,
     over: bool,
-    out: u32,
+    attempts_in_flight: u32,
 }
 
-/// One relay's balancer with the maps between the wire's names and the module's numbers.
-struct Gateway {
+/// One node's decisions, with the maps between the protocol's names and the decision module's numbers.
+struct Node {
     balancer: Balancer,
+    /// Position of the load over capacity (`x0`) in a load report.
     load_field: Option<usize>,
+    /// Numbers of the protocol's request ids.
     ids: HashMap<String, u64>,
-    requests: HashMap<u64, Known>,
+    requests: HashMap<u64, TrackedRequest>,
+    /// Names of the backends, by number.
     backends: HashMap<u64, String>,
+    /// Number of the next request.
     next: u64,
 }
 
-/// All relays that this process hosts; they share nothing but the numbered lists of the wire.
+/// All nodes that this process simulates. They share only the numbered backend lists of the protocol.
 #[derive(Default)]
 pub struct Adapter {
-    lists: [Vec<Entry>; LISTS],
-    gateways: HashMap<String, Gateway>,
+    lists: [Vec<Entry>; LIST_COUNT],
+    nodes: HashMap<String, Node>,
 }
 
 impl Adapter {
-    /// Takes one batch, a line of JSON, and returns the reply to it.
+    /// Processes one batch, a line of JSON, and returns the reply.
+    ///
+    /// # Errors
+    /// If the line is not a valid batch, or names a node that has not started or a list that does not exist.
     pub fn batch(&mut self, line: &[u8]) -> Result<String, WireError> {
-        let batch: Batch = serde_json::from_slice(line).map_err(wrong)?;
+        let batch: Batch = serde_json::from_slice(line).map_err(wire_error)?;
         let now = batch.now_ms;
         let mut output: Vec<(String, Value)> = Vec::new();
         let mut actions = Vec::new();
@@ -266,17 +276,17 @@
                     let slot = self
                         .lists
                         .get_mut(list)
-                        .ok_or_else(|| wrong(format!("list {list} is not in 0..15")))?;
+                        .ok_or_else(|| wire_error(format!("list {list} is not in 0..15")))?;
                     *slot = entries;
                     continue;
                 }
                 Item::Start { relay, entropy, setup } => {
-                    self.gateways.insert(relay, Gateway::new(&setup, entropy));
+                    self.nodes.insert(relay, Node::new(&setup, entropy));
                     continue;
                 }
                 Item::Down { relay } => {
-                    // What the killed instance decided earlier in this batch names requests of its past life.
-                    self.gateways.remove(&relay);
+                    // Actions from earlier in this batch refer to requests of the instance that was killed.
+                    self.nodes.remove(&relay);
                     output.retain(|(owner, _)| *owner != relay);
                     continue;
                 }
@@ -286,58 +296,59 @@
                         (_, Some(list)) => self
                             .lists
                             .get(list)
-                            .ok_or_else(|| wrong(format!("list {list} is not in 0..15")))?,
-                        (_, None) => return Err(wrong("VIEW without list")),
+                            .ok_or_else(|| wire_error(format!("list {list} is not in 0..15")))?,
+                        (_, None) => return Err(wire_error("VIEW without list")),
                     };
-                    let gateway = gateway(&mut self.gateways, &relay)?;
-                    let event = gateway.view(&form, entries);
+                    let node = node(&mut self.nodes, &relay)?;
+                    let event = node.list_event(&form, entries);
                     (relay, Some(event))
                 }
                 Item::Ask(ask) => {
-                    let gateway = gateway(&mut self.gateways, &ask.relay)?;
-                    let request = gateway.request(&ask, 0);
+                    let node = node(&mut self.nodes, &ask.relay)?;
+                    let request = node.request(&ask, 0);
                     (ask.relay, Some(Event::Request(request)))
                 }
                 Item::TakenOver(TakenOver { ask, backend }) => {
-                    let gateway = gateway(&mut self.gateways, &ask.relay)?;
-                    let backend = gateway.backend(&backend);
-                    let request = gateway.request(&ask, 1);
+                    let node = node(&mut self.nodes, &ask.relay)?;
+                    let backend = node.backend(&backend);
+                    let request = node.request(&ask, 1);
                     (ask.relay, Some(Event::Adopted { request, backend }))
                 }
                 Item::Memo { relay, who, body } => {
-                    let body = BASE64.decode(body).map_err(|error| wrong(format!("MEMO body: {error}")))?;
+                    let body =
+                        BASE64.decode(body).map_err(|error| wire_error(format!("MEMO body: {error}")))?;
                     (relay, Some(Event::PeerMessage { from: who, body }))
                 }
                 Item::Result(ended) => {
-                    let gateway = gateway(&mut self.gateways, &ended.relay)?;
-                    let event = gateway.ended(&ended);
+                    let node = node(&mut self.nodes, &ended.relay)?;
+                    let event = node.ended(&ended);
                     (ended.relay, event)
                 }
                 Item::Pong { relay, code, backend, pressure } => {
-                    let gateway = gateway(&mut self.gateways, &relay)?;
-                    let backend = gateway.backend(&backend);
-                    let report = gateway.report(&pressure);
+                    let node = node(&mut self.nodes, &relay)?;
+                    let backend = node.backend(&backend);
+                    let report = node.report(&pressure);
                     (relay, Some(Event::ProbeEnded { backend, outcome: code.into(), report }))
                 }
                 Item::ClientLeft { relay, xid } => {
-                    let gateway = gateway(&mut self.gateways, &relay)?;
-                    let event = gateway.ids.get(&xid).map(|&id| Event::ClientGone { id: RequestId(id) });
+                    let node = node(&mut self.nodes, &relay)?;
+                    let event = node.ids.get(&xid).map(|&id| Event::ClientGone { id: RequestId(id) });
                     if let Some(Event::ClientGone { id }) = event {
-                        gateway.settle(id.0, 0, true);
+                        node.settle(id.0, 0, true);
                     }
                     (relay, event)
                 }
                 Item::Begun(begun) => {
-                    let gateway = gateway(&mut self.gateways, &begun.relay)?;
-                    let id = gateway.ids.get(&begun.xid);
+                    let node = node(&mut self.nodes, &begun.relay)?;
+                    let id = node.ids.get(&begun.xid);
                     let event =
                         id.map(|&id| Event::Established { id: RequestId(id), took_ms: begun.took_ms });
                     (begun.relay, event)
                 }
                 Item::StatusNote { relay, xid, amount, backend, what } => {
-                    let gateway = gateway(&mut self.gateways, &relay)?;
-                    let backend = gateway.backend(&backend);
-                    let id = gateway.ids.get(&xid);
+                    let node = node(&mut self.nodes, &relay)?;
+                    let backend = node.backend(&backend);
+                    let id = node.ids.get(&xid);
                     let event = match what {
                         1 => id.map(|&id| Event::LoadChanged { id: RequestId(id), load: amount }),
                         2 => Some(Event::MessageDelay { backend, took_ms: amount }),
@@ -347,34 +358,34 @@
                 }
                 Item::DeadlineHit { relay, tag } => (relay, Some(Event::Timer(TimerId(tag)))),
             };
-            let gateway = gateway(&mut self.gateways, &relay)?;
+            let node = node(&mut self.nodes, &relay)?;
             if let Some(event) = event {
-                gateway.balancer.handle(now, event, &mut actions);
+                node.balancer.handle(now, event, &mut actions);
             }
             for action in actions.drain(..) {
-                if let Some(out) = gateway.out(&relay, action) {
-                    output.push((relay.clone(), serde_json::to_value(out).map_err(wrong)?));
+                if let Some(out) = node.encode_action(&relay, action) {
+                    output.push((relay.clone(), serde_json::to_value(out).map_err(wire_error)?));
                 }
             }
         }
         let output: Vec<Value> = output.into_iter().map(|(_, action)| action).collect();
-        serde_json::to_string(&BTreeMap::from([("output", output)])).map_err(wrong)
+        serde_json::to_string(&BTreeMap::from([("output", output)])).map_err(wire_error)
     }
 
-    /// How many requests' ids are held for all relays.
+    /// Returns the number of request ids held for all nodes.
     pub fn held_ids(&self) -> usize {
-        self.gateways.values().map(|gateway| gateway.requests.len()).sum()
+        self.nodes.values().map(|node| node.requests.len()).sum()
     }
 }
 
-fn gateway<'a>(all: &'a mut HashMap<String, Gateway>, relay: &str) -> Result<&'a mut Gateway, WireError> {
-    all.get_mut(relay).ok_or_else(|| wrong(format!("event for {relay}, which has not started")))
+fn node<'a>(all: &'a mut HashMap<String, Node>, relay: &str) -> Result<&'a mut Node, WireError> {
+    all.get_mut(relay).ok_or_else(|| wire_error(format!("event for {relay}, which has not started")))
 }
 
-impl Gateway {
+impl Node {
     fn new(setup: &Value, entropy: u64) -> Self {
         let fields = setup.pointer("/report/fields").and_then(Value::as_array);
-        Gateway {
+        Node {
             balancer: Balancer::new(settings(setup), entropy),
             load_field: fields.and_then(|fields| fields.iter().position(|field| field == "x0")),
             ids: HashMap::new(),
@@ -384,7 +395,7 @@
         }
     }
 
-    /// A backend's number is a hash of its name, so that it is the same at every relay.
+    /// Returns a backend's number: a hash of its name, so that it is the same at every node.
     fn backend(&mut self, name: &str) -> BackendId {
         let mut id = hash(name);
         while self.backends.get(&id).is_some_and(|known| known != name) {
@@ -394,11 +405,11 @@
         BackendId(id)
     }
 
-    fn request(&mut self, ask: &Ask, out: u32) -> Request {
+    fn request(&mut self, ask: &Ask, attempts_in_flight: u32) -> Request {
         let id = self.next;
         self.next += 1;
         self.ids.insert(ask.xid.clone(), id);
-        self.requests.insert(id, Known { xid: ask.xid.clone(), over: false, out });
+        self.requests.insert(id, TrackedRequest { xid: ask.xid.clone(), over: false, attempts_in_flight });
         Request {
             id: RequestId(id),
             tenant: TenantId(ask.owner),
@@ -411,7 +422,7 @@
         }
     }
 
-    fn view(&mut self, form: &Form, entries: &[Entry]) -> Event {
+    fn list_event(&mut self, form: &Form, entries: &[Entry]) -> Event {
         let scope = match form {
             Form::Broken => return Event::DiscoveryFailed,
             Form::Patch => ListScope::Patch,
@@ -465,12 +476,12 @@
         })
     }
 
-    /// Notes what ended of a request and frees its id once nothing can name it any more.
+    /// Records ended attempts of a request, and frees its id once no result can refer to it any more.
     fn settle(&mut self, id: u64, ended: u32, over: bool) {
         let Some(known) = self.requests.get_mut(&id) else { return };
-        known.out = known.out.saturating_sub(ended);
+        known.attempts_in_flight = known.attempts_in_flight.saturating_sub(ended);
         known.over |= over;
-        if known.over && known.out == 0 {
+        if known.over && known.attempts_in_flight == 0 {
             self.ids.remove(&known.xid);
             self.requests.remove(&id);
         }
@@ -480,16 +491,16 @@
         Some(self.requests.get(&id.0)?.xid.clone())
     }
 
-    fn name(&self, backend: BackendId) -> Option<String> {
+    fn backend_name(&self, backend: BackendId) -> Option<String> {
         self.backends.get(&backend.0).cloned()
     }
 
-    fn out<'a>(&mut self, relay: &'a str, action: Action) -> Option<Out<'a>> {
+    fn encode_action<'a>(&mut self, relay: &'a str, action: Action) -> Option<Out<'a>> {
         Some(match action {
             Action::Attempt { id, backend, timeout_ms } => {
-                let backend = self.name(backend)?;
+                let backend = self.backend_name(backend)?;
                 let known = self.requests.get_mut(&id.0)?;
-                known.out += 1;
+                known.attempts_in_flight += 1;
                 Out::Deliver { relay, xid: known.xid.clone(), limit_ms: timeout_ms, backend }
             }
             Action::CancelAttempt { id, attempt } => {
@@ -506,11 +517,11 @@
                 self.settle(id.0, 0, true);
                 Out::Surrender { relay, xid }
             }
-            Action::Probe { backend } => Out::Test { relay, backend: self.name(backend)? },
+            Action::Probe { backend } => Out::Test { relay, backend: self.backend_name(backend)? },
             Action::SetTimer { at, id } => Out::Remind { relay, time_ms: at, tag: id.0 },
             Action::Subscribe { on } => Out::Observe { relay, enable: on },
             Action::FetchList => Out::Resolve { relay },
-            Action::CloseIdle { backend } => Out::HangUp { relay, backend: self.name(backend)? },
+            Action::CloseIdle { backend } => Out::HangUp { relay, backend: self.backend_name(backend)? },
             Action::SendToPeer { peer, body } => Out::MemoTo {
                 relay,
                 peer: peer.map_or(Peer::Named("all"), Peer::One),
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,21 +1,21 @@
-//! How the view of the fleet is told to those who agree on drains.
+//! Converts the membership view into the node list that drain agreement works with.
 
 use hopmoor_agree::{SeenNode, Standing};
 use hopmoor_fleet::{NodeView, Readiness, State, View};
 
-/// The nodes as the log has them.
+/// Returns the nodes of the view as entries for the replicated log.
 pub fn seen_nodes(view: &View) -> Vec<SeenNode> {
-    let seen_nodes = view.members.iter().map(|seen_nodes| SeenNode {
-        name: seen_nodes.id.name.to_string(),
-        zone: seen_nodes.info.as_ref().map(|info| info.zone.clone()).unwrap_or_default(),
-        incarnation: seen_nodes.id.incarnation,
-        standing: standing(seen_nodes),
+    let nodes = view.members.iter().map(|node| SeenNode {
+        name: node.id.name.to_string(),
+        zone: node.info.as_ref().map(|info| info.zone.clone()).unwrap_or_default(),
+        incarnation: node.id.incarnation,
+        standing: standing(node),
     });
-    seen_nodes.collect()
+    nodes.collect()
 }
 
-fn standing(seen_nodes: &NodeView) -> Standing {
-    match (seen_nodes.state, seen_nodes.info.as_ref().map(|info| info.ready)) {
+fn standing(node: &NodeView) -> Standing {
+    match (node.state, node.info.as_ref().map(|info| info.ready)) {
         (State::Dead, _) => Standing::Dead,
         (State::Left, _) | (_, Some(Readiness::Left)) => Standing::Left,
         (_, Some(Readiness::Serving)) => Standing::Serving,
