--- a/crates/fleet/src/coming.rs
+++ b/crates/fleet/src/coming.rs
@@ -1,114 +1,126 @@
-//! Coming again after being held dead, and two processes of one name.
+//! Rejoining under a new incarnation after other nodes declared this one dead, and yielding the name to a
+//! later process that has the same name.
 
 use crate::identity::{Id, Millis};
-use crate::{Due, Event, Fleet, Message, Wants};
+use crate::{Due, Event, Fleet, FocaOutput, Message};
 
-/// Between two comings: a fleet that takes a while to hear of one must not make a node come again and again.
-const AGAIN_MS: Millis = 300;
-/// One that stepped back asks this often whether the other is still there.
-const ASK_MS: Millis = 1_000;
-/// Pauses from which on it is worth a line in the log.
-pub(crate) const LONG_MS: Millis = 500;
+/// Least time between two rejoins. News of an incarnation takes a while to spread; without this bound nodes
+/// that still hold the earlier one dead would make this node rejoin over and over.
+const MIN_REJOIN_INTERVAL_MS: Millis = 300;
+/// How often a superseded node asks whether the later process of its name is still up.
+const CHECK_SUPERSEDER_MS: Millis = 1_000;
+/// Stalls shorter than this are counted but not logged.
+pub(crate) const MIN_LOGGED_STALL_MS: Millis = 500;
 
-/// How this node came, and whether it may stay.
+/// Whether this node has to rejoin, and whether it has lost its name to a later process.
 #[derive(Debug, Default)]
-pub(crate) struct Coming {
-    /// A later process of the same name.
-    by: Option<Id>,
-    /// Whether it is to come again soon.
-    due: bool,
-    last: Option<Millis>,
-    /// Nobody has answered a probe of this coming yet: that others are dead is not this node's to say. Guards against one
-    /// that hears others and is not heard: it would find all of them dead, and be believed as soon as it is heard.
-    unproven: bool,
+pub(crate) struct RejoinState {
+    /// The later process of this node's name, while that process is believed to be up.
+    superseded_by: Option<Id>,
+    /// A rejoin is scheduled.
+    rejoin_pending: bool,
+    last_rejoin: Option<Millis>,
+    /// No probe has been acknowledged since the last rejoin, so it must not declare others dead. Guards
+    /// against a node that receives but can't be heard: it would find all others dead, and they would believe
+    /// it as soon as the network lets its messages through.
+    unconfirmed: bool,
 }
 
-impl Coming {
-    pub(crate) fn stepped_back(&self) -> bool {
-        self.by.is_some()
+impl RejoinState {
+    pub(crate) fn is_superseded(&self) -> bool {
+        self.superseded_by.is_some()
     }
 
-    pub(crate) fn is_proven(&self) -> bool {
-        !self.unproven
+    pub(crate) fn is_confirmed(&self) -> bool {
+        !self.unconfirmed
     }
 
-    /// A probe was answered: this coming is heard.
-    pub(crate) fn prove(&mut self) {
-        self.unproven = false;
+    /// Records that a probe was acknowledged: others hear this incarnation.
+    pub(crate) fn confirm(&mut self) {
+        self.unconfirmed = false;
     }
 }
 
 impl Fleet {
-    /// The later process of this node's name, if this one stepped back from it.
+    /// The later process of this node's name that this node has yielded to, if any.
     pub fn superseded_by(&self) -> Option<&Id> {
-        self.coming.by.as_ref()
+        self.rejoin_state.superseded_by.as_ref()
     }
 
-    /// Others hold this coming of the node dead: that can't be refuted, so it comes again, soon.
-    pub(crate) fn held_dead(&mut self, now: Millis) {
-        if self.leaving || self.coming.stepped_back() || std::mem::replace(&mut self.coming.due, true) {
+    /// Schedules a rejoin because another node holds this incarnation dead. Death can't be refuted by the
+    /// same incarnation.
+    pub(crate) fn declared_dead(&mut self, now: Millis) {
+        if self.leaving
+            || self.rejoin_state.is_superseded()
+            || std::mem::replace(&mut self.rejoin_state.rejoin_pending, true)
+        {
             return;
         }
-        let at = self.coming.last.map_or(now, |last| now.max(last + AGAIN_MS));
+        let at = self.rejoin_state.last_rejoin.map_or(now, |last| now.max(last + MIN_REJOIN_INTERVAL_MS));
         self.timers.set(at, Due::Rejoin);
     }
 
-    pub(crate) fn come_again(&mut self, now: Millis) {
-        if self.leaving || self.coming.stepped_back() || !std::mem::take(&mut self.coming.due) {
+    pub(crate) fn rejoin_due(&mut self, now: Millis) {
+        if self.leaving
+            || self.rejoin_state.is_superseded()
+            || !std::mem::take(&mut self.rejoin_state.rejoin_pending)
+        {
             return;
         }
-        self.come_as(now, self.id.incarnation + 1);
+        self.restart_as(now, self.id.incarnation + 1);
         self.events.push_back(Event::Returned(self.id.clone()));
     }
 
-    /// As another incarnation, and with none of the news that waited to be told: a node that was cut off has whole lists of
-    /// dead ones there, which the others would believe.
-    fn come_as(&mut self, now: Millis, incarnation: u64) {
-        self.coming.last = Some(now);
-        self.coming.unproven = true;
-        self.id = self.id.come_again(incarnation);
+    /// Starts over under `incarnation` with the members known so far, but without the gossip still queued.
+    /// After a partition that queue lists many nodes as dead, and the others would believe it.
+    fn restart_as(&mut self, now: Millis, incarnation: u64) {
+        self.rejoin_state.last_rejoin = Some(now);
+        self.rejoin_state.unconfirmed = true;
+        self.id = self.id.with_incarnation(incarnation);
         let known: Vec<foca::Member<Id>> = self.foca.iter_membership_state().cloned().collect();
-        self.foca = crate::library(&self.id, &mut self.rng, &self.words);
+        self.foca = crate::new_foca(&self.id, &mut self.rng, &self.info_table);
         self.timers.retain(|due| match due {
             Due::Foca(timer) => matches!(timer, foca::Timer::RemoveDown(_)),
-            Due::Tell(..) => false,
-            Due::Exchange(_) | Due::Seed | Due::Ask | Due::Rejoin => true,
+            Due::NotifySuspect(..) => false,
+            Due::Exchange(_) | Due::Seed | Due::CheckSuperseder | Due::Rejoin => true,
         });
-        let mut wants = Wants::default();
-        let _ = self.foca.apply_many(known.into_iter(), false, &mut wants);
-        // They were known before.
-        wants.up.clear();
-        wants.down.clear();
+        let mut output = FocaOutput::default();
+        let _ = self.foca.apply_many(known.into_iter(), false, &mut output);
+        // Members known before the restart are no news.
+        output.up.clear();
+        output.down.clear();
         self.changes += 1;
-        self.carry_out(now, wants);
-        self.version = 0;
-        self.speak();
-        self.unsettled(now);
-        let mut wants = Wants::default();
-        let _ = self.foca.gossip(&mut wants);
-        self.carry_out(now, wants);
+        self.apply_output(now, output);
+        self.info_version = 0;
+        self.broadcast_info();
+        self.mark_unsettled(now);
+        let mut output = FocaOutput::default();
+        let _ = self.foca.gossip(&mut output);
+        self.apply_output(now, output);
     }
 
-    /// Without a word: said dead by itself, the earlier coming would be news to those who know the later one not yet.
-    fn go_quiet(&mut self, now: Millis) {
+    /// Ends this incarnation's part in SWIM without telling the others. If it announced its own death, nodes
+    /// that don't know the later process yet would report the node as down.
+    fn stop_probing(&mut self, now: Millis) {
         let dead = foca::Member::new(self.id.clone(), 0, foca::State::Down);
-        let mut wants = Wants::default();
-        let _ = self.foca.apply_many(std::iter::once(dead), false, &mut wants);
-        wants.defunct = false;
-        self.carry_out(now, wants);
+        let mut output = FocaOutput::default();
+        let _ = self.foca.apply_many(std::iter::once(dead), false, &mut output);
+        output.defunct = false;
+        self.apply_output(now, output);
     }
 
-    /// Whether what this one sends is to be passed over: it is an earlier coming of a node that is known by a later one,
-    /// and told so; or it has this node's own name.
-    pub(crate) fn earlier(&mut self, now: Millis, id: &Id) -> bool {
+    /// Returns whether messages from `id` must be ignored: it is an earlier incarnation of a node that is
+    /// known under a later one, or it bears this node's own name. An earlier incarnation is told so. A later
+    /// one of this node's name supersedes this node.
+    pub(crate) fn reject_stale_sender(&mut self, now: Millis, id: &Id) -> bool {
         let (by, alive) = if id.name == self.id.name {
             if !self.id.is_later(id) {
-                self.superseded(now, id.clone(), true);
+                self.handle_superseded(now, id.clone(), true);
                 return true;
             }
-            (self.coming.by.clone().unwrap_or_else(|| self.id.clone()), true)
+            (self.rejoin_state.superseded_by.clone().unwrap_or_else(|| self.id.clone()), true)
         } else {
-            match self.known(id) {
+            match self.lookup(id) {
                 Some((known, _, state)) if known.is_later(id) => (known, state != foca::State::Down),
                 _ => return false,
             }
@@ -118,32 +130,33 @@
         true
     }
 
-    /// Asks anybody how the later process is, while this one has stepped back.
-    pub(crate) fn ask(&mut self, now: Millis) {
-        if self.coming.stepped_back() {
-            self.call_anybody();
-            self.timers.set(now + ASK_MS, Due::Ask);
+    /// While superseded, starts an exchange with any node to learn whether the later process is still up.
+    pub(crate) fn check_superseder(&mut self, now: Millis) {
+        if self.rejoin_state.is_superseded() {
+            self.exchange_with_anyone();
+            self.timers.set(now + CHECK_SUPERSEDER_MS, Due::CheckSuperseder);
         }
     }
 
-    /// A later process of this node's name is known, or was.
-    pub(crate) fn superseded(&mut self, now: Millis, by: Id, alive: bool) {
+    /// Handles news of a later process of this node's name. If that process is up, this node yields the name
+    /// to it; if it is dead, this node takes the name back under a still later incarnation.
+    pub(crate) fn handle_superseded(&mut self, now: Millis, by: Id, alive: bool) {
         if by.name != self.id.name || by == self.id || !by.is_later(&self.id) || self.leaving {
             return;
         }
         if !alive {
-            let resumes = self.coming.by.take().is_some();
-            self.come_as(now, by.incarnation + 1);
-            if resumes {
+            let was_superseded = self.rejoin_state.superseded_by.take().is_some();
+            self.restart_as(now, by.incarnation + 1);
+            if was_superseded {
                 self.events.push_back(Event::Resumed(self.id.clone()));
             }
             return;
         }
-        if !self.coming.stepped_back() {
-            self.go_quiet(now);
+        if !self.rejoin_state.is_superseded() {
+            self.stop_probing(now);
             self.events.push_back(Event::SteppedBack(by.clone()));
-            self.timers.set(now + ASK_MS, Due::Ask);
+            self.timers.set(now + CHECK_SUPERSEDER_MS, Due::CheckSuperseder);
         }
-        self.coming.by = Some(by);
+        self.rejoin_state.superseded_by = Some(by);
     }
 }
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -1,205 +1,224 @@
-//! Exchanges: two nodes compare digests and, where those differ, swap all that they know. What gossip missed is settled
-//! so, and halves of a fleet that were apart find each other again.
+//! Anti-entropy exchanges over a stream connection. Two nodes compare the digests of their views and, where
+//! these differ, send each other all that they know. This makes up for lost gossip and rejoins the parts of a
+//! fleet after a partition.
 
 use crate::identity::{Id, Millis};
-use crate::wire::{Entry, Frame, Told};
-use crate::{Due, Event, FORGET_MS, Fleet, MOST, Message, Order, Refused};
+use crate::wire::{Entry, Frame, ReportedState};
+use crate::{Due, Event, FORGET_DEAD_AFTER_MS, Fleet, MOST, Message, Order, Refused};
 use foca::{Member, State};
 use hopmoor_seal::Kind;
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Between exchanges while nothing changes: a missed word is late by this at most.
-const CALM_MS: Millis = 5_000;
-/// And while something does: after a heal a few rounds have to follow each other.
-const UNSETTLED_MS: Millis = 500;
+/// Mean time between exchanges while the view is settled: an update that gossip missed is late by
+/// about this at most.
+const SETTLED_EXCHANGE_MS: Millis = 5_000;
+/// Mean time between exchanges while the view changes. Short, because after a partition heals several rounds
+/// have to follow each other.
+const UNSETTLED_EXCHANGE_MS: Millis = 500;
 /// The view counts as settled when it has not changed for this long.
-const SETTLED_MS: Millis = 3_000;
-/// One that knows of nobody asks a seed this often.
-const ALONE_MS: Millis = 500;
-/// A seed that is not in the view is asked this often.
-const SEED_MS: Millis = 10_000;
+const SETTLE_TIME_MS: Millis = 3_000;
+/// How often a node that knows no other node contacts a seed.
+const LONE_SEED_RETRY_MS: Millis = 500;
+/// How often a seed that is missing from the view is contacted.
+const SEED_RETRY_MS: Millis = 10_000;
 
-/// Whether the view changes.
+/// When the view last changed, and when the next exchange is due.
 #[derive(Debug)]
 pub(crate) struct Settling {
-    changed: Millis,
-    /// Turns between the living and the dead.
-    turn: u64,
-    /// When the next exchange is due, and which of those that are set it is: one that was set for calm times is overtaken.
-    next: Millis,
-    round: u64,
+    last_change: Millis,
+    /// Counts the exchanges that this node began: odd ones go to live nodes, even ones to dead nodes.
+    exchanges_begun: u64,
+    /// When the next exchange is due.
+    next_exchange: Millis,
+    /// Identifies the timer of the next exchange. When the view changes, a shorter timer replaces the one
+    /// that was set while it was settled; the replaced timer carries an older generation and is ignored.
+    generation: u64,
 }
 
 impl Settling {
     pub(crate) fn new(now: Millis) -> Settling {
-        Settling { changed: now, turn: 0, next: 0, round: 0 }
+        Settling { last_change: now, exchanges_begun: 0, next_exchange: 0, generation: 0 }
     }
 
-    pub(crate) fn settled(&self, now: Millis) -> bool {
-        now.saturating_sub(self.changed) >= SETTLED_MS
+    pub(crate) fn is_settled(&self, now: Millis) -> bool {
+        now.saturating_sub(self.last_change) >= SETTLE_TIME_MS
     }
 }
 
-/// One side of an exchange under way.
+/// The state of one side of an exchange in progress.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The salt that the next frame has to bear; none: a greeting is awaited.
-    salt: Option<u64>,
+    /// The challenge that the next frame must carry; `None` while the callee waits for `Hello`.
+    challenge: Option<u64>,
     done: bool,
 }
 
 impl Exchange {
-    /// Whether nothing more is to be read or written.
+    /// Whether the exchange has ended: no frame is expected or left to send.
     pub fn is_done(&self) -> bool {
         self.done
     }
 }
 
 impl Fleet {
-    /// Whether the view has stood for a while, so that more may rest on it.
+    /// Whether the view has been stable for [`SETTLE_TIME_MS`] and this node still owns its name.
     pub fn is_settled(&self, now: Millis) -> bool {
-        self.settling.settled(now) && !self.coming.stepped_back()
+        self.settling.is_settled(now) && !self.rejoin_state.is_superseded()
     }
 
-    /// The view changes: exchanges follow each other quickly for a while.
-    pub(crate) fn unsettled(&mut self, now: Millis) {
-        self.settling.changed = now;
-        if self.settling.next > now + UNSETTLED_MS * 3 / 2 {
-            self.set_exchange(now);
+    /// Records a change of the view, so that exchanges come more often for a while.
+    pub(crate) fn mark_unsettled(&mut self, now: Millis) {
+        self.settling.last_change = now;
+        if self.settling.next_exchange > now + UNSETTLED_EXCHANGE_MS * 3 / 2 {
+            self.schedule_exchange(now);
         }
     }
 
-    /// Sets the next exchange; its time is drawn, so that nodes started together do not call together.
-    pub(crate) fn set_exchange(&mut self, now: Millis) {
-        let most = if self.settling.settled(now) { CALM_MS } else { UNSETTLED_MS };
-        let pause = most / 2 + self.rng.random_range(0..=most);
-        self.settling.next = now + pause;
-        self.settling.round += 1;
-        self.timers.set(self.settling.next, Due::Exchange(self.settling.round));
+    /// Schedules the next exchange after a random delay, so that nodes started together don't all connect at
+    /// once.
+    pub(crate) fn schedule_exchange(&mut self, now: Millis) {
+        let period = if self.settling.is_settled(now) { SETTLED_EXCHANGE_MS } else { UNSETTLED_EXCHANGE_MS };
+        let delay = period / 2 + self.rng.random_range(0..=period);
+        self.settling.next_exchange = now + delay;
+        self.settling.generation += 1;
+        self.timers.set(self.settling.next_exchange, Due::Exchange(self.settling.generation));
     }
 
-    pub(crate) fn exchange_due(&mut self, now: Millis, round: u64) {
-        if round != self.settling.round {
+    pub(crate) fn exchange_due(&mut self, now: Millis, generation: u64) {
+        if generation != self.settling.generation {
             return;
         }
-        self.set_exchange(now);
-        self.settling.turn += 1;
-        // Every other turn goes to the dead, if there are any.
-        let dead = self.settling.turn.is_multiple_of(2)
+        self.schedule_exchange(now);
+        self.settling.exchanges_begun += 1;
+        // Every second exchange goes to a dead node, if there is one.
+        let dead = self.settling.exchanges_begun.is_multiple_of(2)
             && self.foca.iter_membership_state().len() > self.foca.num_members();
-        let with = |state: State| (state == State::Down) == dead;
-        let all: Vec<SocketAddr> = self
+        let selected = |state: State| (state == State::Down) == dead;
+        let candidates: Vec<SocketAddr> = self
             .foca
             .iter_membership_state()
-            .filter(|member| with(member.state()))
+            .filter(|member| selected(member.state()))
             .map(|member| member.id().address)
             .collect();
-        self.call_one_of(&all);
+        self.exchange_with_one_of(&candidates);
     }
 
-    fn call_one_of(&mut self, from: &[SocketAddr]) {
-        if from.is_empty() {
+    fn exchange_with_one_of(&mut self, candidates: &[SocketAddr]) {
+        if candidates.is_empty() {
             return;
         }
-        let at = self.rng.random_range(0..from.len());
-        if let Some(address) = from.get(at) {
-            self.orders.push_back(Order::Call(*address));
+        let index = self.rng.random_range(0..candidates.len());
+        if let Some(address) = candidates.get(index) {
+            self.actions.push_back(Order::Call(*address));
         }
     }
 
-    /// Seeds that are not in the view are asked for ever: two halves of a fleet may have forgotten each other.
+    /// Contacts a seed that is missing from the view. This never stops: after a long partition each half of
+    /// the fleet may have forgotten the other, and only the seeds connect them again.
     pub(crate) fn seed_due(&mut self, now: Millis) {
         let alone = self.foca.num_members() == 0;
-        let pause = if alone { ALONE_MS } else { SEED_MS };
-        let jitter = self.rng.random_range(0..=pause / 4);
-        self.timers.set(now + pause + jitter, Due::Seed);
-        let known = |seed: &SocketAddr| {
+        let delay = if alone { LONE_SEED_RETRY_MS } else { SEED_RETRY_MS };
+        let jitter = self.rng.random_range(0..=delay / 4);
+        self.timers.set(now + delay + jitter, Due::Seed);
+        let is_known = |seed: &SocketAddr| {
             *seed == self.id.address || self.foca.iter_members().any(|member| member.id().address == *seed)
         };
-        let missing: Vec<SocketAddr> = self.seeds.iter().copied().filter(|seed| !known(seed)).collect();
-        self.call_one_of(&missing);
+        let missing: Vec<SocketAddr> = self.seeds.iter().copied().filter(|seed| !is_known(seed)).collect();
+        self.exchange_with_one_of(&missing);
     }
 
-    pub(crate) fn call_anybody(&mut self) {
-        let mut all = self.seeds.clone();
-        all.extend(self.foca.iter_members().map(|member| member.id().address));
-        all.retain(|address| *address != self.id.address);
-        self.call_one_of(&all);
+    pub(crate) fn exchange_with_anyone(&mut self) {
+        let mut candidates = self.seeds.clone();
+        candidates.extend(self.foca.iter_members().map(|member| member.id().address));
+        candidates.retain(|address| *address != self.id.address);
+        self.exchange_with_one_of(&candidates);
     }
 
-    /// Begins an exchange with whoever was called; `None` if nothing can be sealed.
+    /// Starts an exchange as the caller and returns its `Hello` frame; `None` if the frame can't be sealed.
     pub fn call(&mut self) -> Option<(Exchange, Vec<u8>)> {
-        let salt = self.rng.random();
-        let hello = Frame::Hello { from: self.id.clone(), digest: self.digest(), salt };
-        Some((Exchange { salt: Some(salt), done: false }, self.sealed(&hello)?))
+        let challenge = self.rng.random();
+        let hello = Frame::Hello { from: self.id.clone(), digest: self.digest(), challenge };
+        Some((Exchange { challenge: Some(challenge), done: false }, self.seal_frame(&hello)?))
     }
 
-    /// The other side of an exchange, for a caller that has just come.
+    /// Starts an exchange as the callee, for a connection just accepted.
     pub fn answer(&mut self) -> Exchange {
-        Exchange { salt: None, done: false }
+        Exchange { challenge: None, done: false }
     }
 
-    /// Takes a frame, without its length; yields the answer, if there is one.
+    /// Handles one frame, without its length prefix, and returns the sealed reply, if there is one.
     ///
     /// # Errors
-    /// Why it is refused: the exchange ends then.
+    /// Why the frame was refused. The exchange has ended then.
     pub fn frame(
         &mut self,
         now: Millis,
-        on: &mut Exchange,
+        exchange: &mut Exchange,
         bytes: &[u8],
     ) -> Result<Option<Vec<u8>>, Refused> {
-        self.awake(now);
+        self.detect_stall(now);
         self.figures.bytes_in += bytes.len() as u64;
-        let taken = self.take_frame(now, on, bytes);
-        if taken.is_err() {
+        let result = self.handle_frame(now, exchange, bytes);
+        if result.is_err() {
             self.figures.refused += 1;
-            on.done = true;
+            exchange.done = true;
         }
-        taken
+        result
     }
 
-    fn take_frame(
+    fn handle_frame(
         &mut self,
         now: Millis,
-        on: &mut Exchange,
+        exchange: &mut Exchange,
         bytes: &[u8],
     ) -> Result<Option<Vec<u8>>, Refused> {
         let plain = hopmoor_seal::open(&self.keys, Kind::Frame, bytes)?;
-        match (Frame::read(&plain)?, on.salt) {
-            (Frame::Hello { digest, salt, .. }, None) => {
+        match (Frame::read(&plain)?, exchange.challenge) {
+            (Frame::Hello { digest, challenge, .. }, None) => {
                 self.figures.exchanges += 1;
                 if digest == self.digest() {
-                    on.done = true;
-                    return Ok(self.sealed(&Frame::Same { salt }));
+                    exchange.done = true;
+                    return Ok(self.seal_frame(&Frame::Same { challenge }));
                 }
-                self.unsettled(now);
-                let wanted = self.rng.random();
-                on.salt = Some(wanted);
+                self.mark_unsettled(now);
+                let next_challenge = self.rng.random();
+                exchange.challenge = Some(next_challenge);
                 let entries = self.entries(now);
                 let from = self.id.clone();
-                Ok(self.sealed(&Frame::State { from, salt, wanted: Some(wanted), entries }))
+                Ok(self.seal_frame(&Frame::State {
+                    from,
+                    challenge,
+                    next_challenge: Some(next_challenge),
+                    entries,
+                }))
             }
-            (Frame::Same { salt }, Some(mine)) if salt == mine => {
-                on.done = true;
+            (Frame::Same { challenge }, Some(expected)) if challenge == expected => {
+                exchange.done = true;
                 Ok(None)
             }
-            (Frame::State { salt, wanted, entries, .. }, Some(mine)) if salt == mine => {
-                on.done = true;
-                self.unsettled(now);
-                self.absorb(now, entries);
-                let Some(wanted) = wanted else { return Ok(None) };
+            (Frame::State { challenge, next_challenge, entries, .. }, Some(expected))
+                if challenge == expected =>
+            {
+                exchange.done = true;
+                self.mark_unsettled(now);
+                self.merge_entries(now, entries);
+                let Some(next_challenge) = next_challenge else { return Ok(None) };
                 let entries = self.entries(now);
                 let from = self.id.clone();
-                Ok(self.sealed(&Frame::State { from, salt: wanted, wanted: None, entries }))
+                Ok(self.seal_frame(&Frame::State {
+                    from,
+                    challenge: next_challenge,
+                    next_challenge: None,
+                    entries,
+                }))
             }
-            // Of another exchange, or out of turn.
+            // The frame belongs to another exchange or is out of sequence.
             _ => Err(Refused::Replayed),
         }
     }
 
-    fn sealed(&mut self, frame: &Frame) -> Option<Vec<u8>> {
+    fn seal_frame(&mut self, frame: &Frame) -> Option<Vec<u8>> {
         let plain = frame.write()?;
         let nonce = self.nonce();
         let sealed = hopmoor_seal::seal(&self.keys, Kind::Frame, &plain, nonce)?;
@@ -207,100 +226,111 @@
         Some(sealed)
     }
 
-    /// All that this node knows, itself included.
+    /// Everything that this node knows, itself included.
     fn entries(&self, now: Millis) -> Vec<Entry> {
-        let words = self.words.borrow();
-        let entry = |id: &Id, refuted: u16, state: Told| Entry {
+        let info_table = self.info_table.borrow();
+        let entry = |id: &Id, refutations: u16, state: ReportedState| Entry {
             id: id.clone(),
-            refuted,
+            refutations,
             state,
-            dead_ms: self.died.get(&id.name).map_or(0, |since| now.saturating_sub(*since)),
-            word: words.get(&id.name).cloned(),
+            dead_ms: self.dead_since.get(&id.name).map_or(0, |since| now.saturating_sub(*since)),
+            record: info_table.get(&id.name).cloned(),
         };
         let mut entries = Vec::new();
         match self.superseded_by() {
-            // It speaks for itself no more.
-            Some(by) => entries.push(entry(by, 0, Told::Alive)),
-            None => entries.push(entry(&self.id, 0, Told::Alive)),
+            // A superseded node reports the later process instead of itself.
+            Some(successor) => entries.push(entry(successor, 0, ReportedState::Alive)),
+            None => entries.push(entry(&self.id, 0, ReportedState::Alive)),
         }
         for member in self.foca.iter_membership_state() {
-            let told = match member.state() {
-                State::Alive => Told::Alive,
-                State::Suspect => Told::Suspect,
-                State::Down => Told::Dead,
+            let state = match member.state() {
+                State::Alive => ReportedState::Alive,
+                State::Suspect => ReportedState::Suspect,
+                State::Down => ReportedState::Dead,
             };
-            entries.push(entry(member.id(), member.incarnation(), told));
+            entries.push(entry(member.id(), member.incarnation(), state));
         }
         entries
     }
 
-    /// Takes what another knows. What it holds dead and this node alive is not believed, but told to the one whom it is
-    /// about: if it lives, it comes again; if not, this node's own probes find out.
-    fn absorb(&mut self, now: Millis, entries: Vec<Entry>) {
-        let mut news = Vec::new();
+    /// Merges another node's view into this one. A death reported of a node that is alive in this view is not
+    /// believed. Instead the node in question is told: if it is up, it rejoins; if not, this node's own
+    /// probes will find out.
+    fn merge_entries(&mut self, now: Millis, entries: Vec<Entry>) {
+        let mut updates = Vec::new();
         let mut dead = Vec::new();
-        let mut room = MOST.saturating_sub(self.foca.iter_membership_state().len());
-        for Entry { id, refuted, state, dead_ms, word } in entries {
-            let left =
-                word.as_ref().is_some_and(|word| word.incarnation == id.incarnation && word.tells_left());
+        let mut free_slots = MOST.saturating_sub(self.foca.iter_membership_state().len());
+        for Entry { id, refutations, state, dead_ms, record } in entries {
+            let left = record
+                .as_ref()
+                .is_some_and(|record| record.incarnation == id.incarnation && record.has_left());
             if id.name == self.id.name {
                 match state {
-                    Told::Dead if id == self.id => self.held_dead(now),
-                    Told::Suspect if id == self.id => {
-                        news.push(Member::new(id, refuted, State::Suspect));
+                    ReportedState::Dead if id == self.id => self.declared_dead(now),
+                    ReportedState::Suspect if id == self.id => {
+                        updates.push(Member::new(id, refutations, State::Suspect));
                     }
-                    _ => self.superseded(now, id, state != Told::Dead),
+                    _ => self.handle_superseded(now, id, state != ReportedState::Dead),
                 }
                 continue;
             }
-            match self.known(&id) {
-                None if state == Told::Dead => {
-                    // Remembered only until it is forgotten elsewhere, or it would go round for ever.
-                    if dead_ms < FORGET_MS && room > 0 {
-                        room -= 1;
-                        self.died.insert(id.name.clone(), now.saturating_sub(dead_ms));
-                        dead.push(Member::new(id, refuted, State::Down));
+            match self.lookup(&id) {
+                None if state == ReportedState::Dead => {
+                    // Recorded with its age, and not at all once others forget it; else it would circulate
+                    // for ever.
+                    if dead_ms < FORGET_DEAD_AFTER_MS && free_slots > 0 {
+                        free_slots -= 1;
+                        self.dead_since.insert(id.name.clone(), now.saturating_sub(dead_ms));
+                        dead.push(Member::new(id, refutations, State::Down));
                     }
                 }
-                None if room > 0 => {
-                    room -= 1;
-                    news.push(Member::new(id, refuted, State::Alive));
+                None if free_slots > 0 => {
+                    free_slots -= 1;
+                    updates.push(Member::new(id, refutations, State::Alive));
                 }
                 None => {
-                    if !std::mem::replace(&mut self.full, true) {
+                    if !std::mem::replace(&mut self.full_reported, true) {
                         self.events.push_back(Event::Full);
                     }
                     continue;
                 }
-                Some((known, _, ours)) if known == id => match (ours, state) {
-                    (State::Down, Told::Alive | Told::Suspect) => self.tell_dead(id),
-                    (State::Down, Told::Dead) => {}
-                    (_, Told::Dead) if left => news.push(Member::new(id, refuted, State::Down)),
-                    (_, Told::Dead) => self.tell_dead(id),
-                    (_, Told::Alive | Told::Suspect) => news.push(Member::new(id, refuted, State::Alive)),
+                Some((known, _, own_state)) if known == id => match (own_state, state) {
+                    (State::Down, ReportedState::Alive | ReportedState::Suspect) => {
+                        self.send_declared_dead(id)
+                    }
+                    (State::Down, ReportedState::Dead) => {}
+                    (_, ReportedState::Dead) if left => {
+                        updates.push(Member::new(id, refutations, State::Down))
+                    }
+                    (_, ReportedState::Dead) => self.send_declared_dead(id),
+                    (_, ReportedState::Alive | ReportedState::Suspect) => {
+                        updates.push(Member::new(id, refutations, State::Alive))
+                    }
                 },
                 Some((known, ..)) if id.is_later(&known) => {
-                    let state = if state == Told::Dead { State::Down } else { State::Alive };
-                    news.push(Member::new(id, refuted, state));
+                    let state = if state == ReportedState::Dead { State::Down } else { State::Alive };
+                    updates.push(Member::new(id, refutations, state));
                 }
                 Some(_) => {}
             }
-            if let Some(word) = word
-                && self.words.borrow_mut().take(word)
+            if let Some(record) = record
+                && self.info_table.borrow_mut().insert_if_newer(record)
             {
-                self.unsettled(now);
+                self.mark_unsettled(now);
             }
         }
-        // The dead that others know of are no news to them.
-        let since: Vec<(crate::Name, Millis)> =
-            dead.iter().filter_map(|m| Some((m.id().name.clone(), *self.died.get(&m.id().name)?))).collect();
-        self.apply(now, dead, false);
-        self.died.extend(since);
-        self.apply(now, news, true);
+        // Dead nodes learnt from another node are not gossiped: the others know of them already.
+        let dead_since: Vec<(crate::Name, Millis)> = dead
+            .iter()
+            .filter_map(|m| Some((m.id().name.clone(), *self.dead_since.get(&m.id().name)?)))
+            .collect();
+        self.apply_members(now, dead, false);
+        self.dead_since.extend(dead_since);
+        self.apply_members(now, updates, true);
     }
 
-    fn tell_dead(&mut self, about: Id) {
-        let message = Message::HeldDead { from: self.id.clone(), about: about.clone() };
+    fn send_declared_dead(&mut self, about: Id) {
+        let message = Message::DeclaredDead { from: self.id.clone(), about: about.clone() };
         self.send(about.address, &message);
     }
 }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,14 +1,15 @@
-//! Whether a node may trust what it sees (Lifeguard, section IV): one that was starved or stopped, or whose probes fail
-//! and whose suspicions turn out false, doubts itself first and gives the others more time.
+//! The node's local health (Lifeguard, section IV). A node that was starved or stopped, whose probes fail or
+//! whose suspicions turn out false assumes first that the fault is its own, and gives the others more time.
 
 use crate::identity::Millis;
 
-/// Doubts, at most. With four a suspect has five times as long, 5.5 s.
-const MOST: u32 = 4;
-/// A timer this late means that the node itself stood still: usual scheduling is far below.
+/// Upper bound of the health score. At 4 timeouts are five times as long: 5.5 s from suspicion to death.
+const MAX_SCORE: u32 = 4;
+/// A timer that fires later than this means that the process itself was stalled; ordinary scheduling delays
+/// are far below.
 pub(crate) const STALL_MS: Millis = 50;
 
-/// A node's doubts in itself.
+/// The local health score: 0 is healthy, higher means less trust in this node's own observations.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
     doubts: u32,
@@ -19,18 +20,19 @@
         self.doubts
     }
 
-    /// A span, stretched by the doubts.
-    pub(crate) fn stretched(self, span: Millis) -> Millis {
-        span * Millis::from(1 + self.doubts)
+    /// Stretches a timeout in proportion to the score.
+    pub(crate) fn scale(self, timeout: Millis) -> Millis {
+        timeout * Millis::from(1 + self.doubts)
     }
 
-    /// It stood still, a probe found nobody, or somebody that it suspected is alive.
-    pub(crate) fn doubt(&mut self) {
-        self.doubts = (self.doubts + 1).min(MOST);
+    /// Raises the score: this node was stalled, a probe got no answer, or a node that it suspected proved
+    /// alive.
+    pub(crate) fn worsen(&mut self) {
+        self.doubts = (self.doubts + 1).min(MAX_SCORE);
     }
 
-    /// A probe was answered.
-    pub(crate) fn trust(&mut self) {
+    /// Lowers the score: a probe was answered.
+    pub(crate) fn improve(&mut self) {
         self.doubts = self.doubts.saturating_sub(1);
     }
 }
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -1,99 +1,103 @@
-//! Who a node is: its name, where it is reached, and how often it has come.
+//! The identity of a node: its name, its address and its incarnation.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A node's name.
+/// The name of a node.
 pub type Name = Arc<str>;
-/// Milliseconds on the caller's clock, which only goes forward.
+/// Milliseconds on the caller's clock, which is monotonic.
 pub type Millis = u64;
 
-/// Bytes of a name, at most.
-pub const NAME_BYTES: usize = 64;
+/// Longest name of a node, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// Whether a node may have this name: it goes into tables, logs and datagrams of all others.
+/// Whether `text` is valid as a node's name. Names end up in the tables, logs and datagrams of all other
+/// nodes.
 pub fn is_name(text: &str) -> bool {
-    !text.is_empty() && text.len() <= NAME_BYTES && text.chars().all(|c| !c.is_control())
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(|c| !c.is_control())
 }
 
-/// One coming of a node. Of two with one name, the later incarnation is the node.
+/// One incarnation of a node. If two share a name, the later incarnation is the node and the earlier one must
+/// yield.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(try_from = "Raw")]
+#[serde(try_from = "UncheckedId")]
 pub struct Id {
-    /// The node.
+    /// The name of the node.
     pub name: Name,
-    /// Its coming: Unix milliseconds at its start, and one more each time it has to come again.
+    /// The node's start in Unix milliseconds, plus 1 for each rejoin since.
     pub incarnation: u64,
-    /// Where the others reach it.
+    /// Where other nodes reach this one.
     pub address: SocketAddr,
-    /// What the name is found by: the library looks through all that it knows for every news, and asks each for its own.
+    /// Stands for the name in lookups. For every update `foca` compares it with that of all members it knows.
     #[serde(skip)]
-    key: Key,
+    name_hash: NameHash,
 }
 
-/// Half of a name's SHA-256: not even one that holds the fleet's key finds two names that meet.
+/// The first half of a name's SHA-256. Long enough that not even a holder of the fleet's key can find two
+/// names that collide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Key(u128);
+pub struct NameHash(u128);
 
-impl Key {
-    fn of(name: &str) -> Key {
+impl NameHash {
+    fn of(name: &str) -> NameHash {
         let digest: [u8; 32] = Sha256::digest(name.as_bytes()).into();
-        Key(digest.iter().take(16).fold(0, |key, byte| key << 8 | u128::from(*byte)))
+        NameHash(digest.iter().take(16).fold(0, |name_hash, byte| name_hash << 8 | u128::from(*byte)))
     }
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct UncheckedId {
     name: Name,
     incarnation: u64,
     address: SocketAddr,
 }
 
-impl TryFrom<Raw> for Id {
+impl TryFrom<UncheckedId> for Id {
     type Error = &'static str;
 
-    fn try_from(raw: Raw) -> Result<Id, Self::Error> {
-        let Raw { name, incarnation, address } = raw;
-        if is_name(&name) { Ok(Id::new(name, incarnation, address)) } else { Err("not a node's name") }
+    fn try_from(raw: UncheckedId) -> Result<Id, Self::Error> {
+        let UncheckedId { name, incarnation, address } = raw;
+        if is_name(&name) { Ok(Id::new(name, incarnation, address)) } else { Err("invalid node name") }
     }
 }
 
 impl Id {
-    /// A node's coming.
+    /// Creates an identity.
     pub fn new(name: impl Into<Name>, incarnation: u64, address: SocketAddr) -> Id {
         let name = name.into();
-        Id { key: Key::of(&name), name, incarnation, address }
+        Id { name_hash: NameHash::of(&name), name, incarnation, address }
     }
 
-    /// The same node, come as another incarnation.
-    pub(crate) fn come_again(&self, incarnation: u64) -> Id {
+    /// The same node under another incarnation.
+    pub(crate) fn with_incarnation(&self, incarnation: u64) -> Id {
         Id { incarnation, ..self.clone() }
     }
 
-    /// Whether the two are of one node.
+    /// Whether both are incarnations of the same node.
     pub fn is_same_node(&self, other: &Id) -> bool {
-        self.key == other.key
+        self.name_hash == other.name_hash
     }
 
-    /// Whether this is a later coming than the other; by the address where two came in one millisecond.
+    /// Whether this incarnation is later than the other; the address decides if both started in the same
+    /// millisecond.
     pub fn is_later(&self, other: &Id) -> bool {
         (self.incarnation, self.address) > (other.incarnation, other.address)
     }
 }
 
 impl foca::Identity for Id {
-    type Addr = Key;
+    type Addr = NameHash;
 
-    /// When and as whom to come again is decided in `coming`, not in the library: it would come again at once, each
-    /// time it is told that it is dead.
+    /// Never renews: the rejoin module decides when and under which incarnation to rejoin. `foca` itself
+    /// would do so at once, every time that it is told that it is dead.
     fn renew(&self) -> Option<Id> {
         None
     }
 
-    fn addr(&self) -> Key {
-        self.key
+    fn addr(&self) -> NameHash {
+        self.name_hash
     }
 
     fn win_addr_conflict(&self, adversary: &Id) -> bool {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,18 +1,21 @@
-//! What the nodes of a fleet know of each other. No sockets, no clock and no randomness of its own: [`Fleet`] is fed
-//! datagrams, frames, commands and time, and yields datagrams, calls, timers and events.
+//! Membership of a fleet: what its nodes know of each other. The crate does no I/O and has no clock and no
+//! source of randomness. Callers feed [`Fleet`] with datagrams, frames, commands and the time, and carry out
+//! what it asks for: datagrams to send, exchanges to start and timers.
 //!
-//! - [`identity`]: who a node is.
-//! - [`word`]: what a node says of itself, and how the last one stands.
-//! - `wire`: datagrams and frames. `replay`: datagrams that come twice.
-//! - `health`: when a node doubts itself. `timers`: what is due, and that time stands still while the node does.
-//! - `coming`: coming again after being held dead, and two processes of one name.
-//! - `hearsay`: what of a datagram is believed.
-//! - `exchange`: what settles two views that differ.
+//! - [`identity`]: names, addresses and incarnations of nodes.
+//! - [`word`]: what a node announces about itself, and the table of the latest announcement of each node.
+//! - `wire`: the encoding of datagrams and frames. `replay`: drops replayed datagrams.
+//! - `health`: how far a node trusts its own observations (Lifeguard). `timers`: the timer queue, which
+//!   pauses while the process is stalled.
+//! - `coming`: rejoining after being declared dead, and two processes of the same name.
+//! - `hearsay`: which membership updates in a datagram are applied.
+//! - `exchange`: anti-entropy exchanges, which reconcile two views that differ.
 //! - `sharing`: how many nodes share the pool.
 //! - `view`: the view as operators and the node read it, and its digest.
 //!
-//! Membership itself is SWIM by `foca`. What this does not do: agree. A view is one node's belief, late by a second or
-//! two; no promise may rest on it. `docs/fleet-view.md` has the design, the wire and the figures.
+//! Membership is SWIM as implemented by `foca`. It gives no consensus: a view is what one node believes, late
+//! by a second or two, and no guarantee may rest on it. `docs/fleet-view.md` describes the design, the wire
+//! format and measurements.
 
 mod coming;
 mod exchange;
@@ -47,111 +50,115 @@
 use std::rc::Rc;
 use std::time::Duration;
 use timers::Timers;
-use wire::{Message, Unread};
-use word::{Word, Words};
+use wire::{DecodeError, Message};
+use word::{InfoRecord, InfoTable};
 
-/// Nodes that are known at once, the dead ones included. Guards against made-up names from a node that has the key.
+/// Most nodes in the view, dead ones included. Guards against a node that holds the key and invents names.
 pub const MOST: usize = 4_096;
-/// Probes come this often: see the table of times in `docs/fleet-view.md`.
-const PROBE_MS: u64 = 200;
-/// An answer within this spares the way over others.
-const RTT_MS: u64 = 80;
-/// From suspicion to death: time for a process that was stopped for a second to say that it is alive.
-const SUSPECT_MS: u64 = 1_100;
-/// Others asked to reach somebody who does not answer.
-const OVER_OTHERS: usize = 3;
-/// News goes with so many datagrams: four times the digits of 4,096 nodes, as memberlist's retransmit multiplier.
-const TELLINGS: u8 = 15;
-/// News that waits goes out this often, to so many nodes.
-const GOSSIP_MS: u64 = 200;
-const GOSSIP_TO: usize = 3;
-/// One of the nodes held dead is tried this often.
-const DEAD_MS: u64 = 1_000;
-/// Dead nodes are remembered, and tried, for so long.
-const FORGET_MS: Millis = 3_600_000;
-/// Messages beside the view that wait to be taken; more are lost, as on any link. Guards against one that floods.
-const BESIDE: usize = 1_024;
-/// A suspect is told so again as long as it is one.
-const TELL_MS: Millis = 200;
-
-/// Bytes of one message beside the view: what a datagram holds, less the longest identity.
-pub const MOST_BESIDE: usize = wire::GOSSIP - 128;
-
-/// What a node is told of its fleet at the start.
+/// Period of probes; `docs/fleet-view.md` derives it in its table of times.
+const PROBE_PERIOD_MS: u64 = 200;
+/// A probe that is not acknowledged within this time is repeated through other nodes.
+const PROBE_RTT_MS: u64 = 80;
+/// Time from suspicion to death: a process that was stopped for a second can still refute the suspicion.
+const SUSPICION_TIMEOUT_MS: u64 = 1_100;
+/// Number of nodes that are asked to probe a node that did not answer.
+const INDIRECT_PROBES: usize = 3;
+/// Number of datagrams that repeat an update: four times the number of digits of 4,096 nodes, as memberlist's
+/// retransmit multiplier has it.
+const MAX_TRANSMISSIONS: u8 = 15;
+/// Period at which queued updates are gossiped, and the number of nodes that get them each time.
+const GOSSIP_PERIOD_MS: u64 = 200;
+const GOSSIP_FANOUT: usize = 3;
+/// Period at which one of the dead nodes is contacted, in case it is up again.
+const ANNOUNCE_TO_DEAD_MS: u64 = 1_000;
+/// How long dead nodes are remembered and contacted.
+const FORGET_DEAD_AFTER_MS: Millis = 3_600_000;
+/// Most received user messages that wait for the caller; further ones are dropped, as any network may drop
+/// them. Guards against a node that floods this one.
+const MAX_QUEUED_USER_MESSAGES: usize = 1_024;
+/// Period at which a suspect is told of the suspicion, until it refutes it or is declared dead.
+const SUSPECT_NOTICE_PERIOD_MS: Millis = 200;
+
+/// Most bytes of one user message: what fits into a datagram beside the longest identity.
+pub const MAX_USER_MESSAGE_BYTES: usize = wire::MAX_GOSSIP_BYTES - 128;
+
+/// Parameters of a [`Fleet`].
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Who it is.
+    /// The identity of this node.
     pub id: Id,
-    /// Where others may be found; any of them will do.
+    /// Addresses through which the fleet is joined; one that answers is enough.
     pub seeds: Vec<SocketAddr>,
-    /// What everything is sealed under.
+    /// The keys that seal all datagrams and frames.
     pub keys: Keys,
-    /// For random numbers, those of nonces too: it must be new and unguessable at each start.
+    /// Seeds the random generator, which also makes the nonces: it must be fresh and unpredictable at each
+    /// start.
     pub seed: [u8; 32],
 }
 
-/// What has happened to the view.
+/// A change that the caller may log or act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A node is there.
+    /// A node joined.
     Up(Id),
-    /// A node is held dead, or has left.
+    /// A node was declared dead, or has left.
     Down(Id, State),
-    /// A node has come again, as another incarnation.
+    /// A node rejoined under a new incarnation.
     Again(Id),
-    /// This node was held dead by others and has come again.
+    /// Others declared this node dead; it has rejoined under a new incarnation.
     Returned(Id),
-    /// A later process has this node's name: this one steps back.
+    /// A later process has this node's name; this node yields the name to it.
     SteppedBack(Id),
-    /// The later process is no more: this one has the name again.
+    /// The later process is dead; this node has its name back.
     Resumed(Id),
-    /// This node stood still for so long; the time of its view did, too.
+    /// The process was stalled for this many milliseconds; the timers of the view were put off by as much.
     Stalled(Millis),
-    /// So many names came that there is no room for more: told once.
+    /// The view is full: updates about new nodes are dropped. Reported once.
     Full,
 }
 
-/// Something to send, call or do.
+/// Something that the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Send this datagram.
+    /// Send this datagram to this address.
     Send(SocketAddr, Vec<u8>),
-    /// Begin an exchange there.
+    /// Start an exchange with this address: connect, then send the frame that [`Fleet::call`] returns.
     Call(SocketAddr),
 }
 
 #[derive(Debug)]
 enum Due {
     Foca(Timer<Id>),
-    /// Tell a suspect that it is one, until so long after the first time.
-    Tell(Id, u16, Millis),
-    /// Begin an exchange, unless another was set since.
+    /// Tell a suspect of the suspicion: its identity, its refutations at the time, and until when to repeat
+    /// it.
+    NotifySuspect(Id, u16, Millis),
+    /// Start an exchange, unless the timer was replaced: its generation.
     Exchange(u64),
-    /// Ask a seed.
+    /// Contact a seed.
     Seed,
-    /// Ask whether the later process of this name is still there.
-    Ask,
-    /// Come again.
+    /// Check whether the later process of this node's name is still up.
+    CheckSuperseder,
+    /// Rejoin under a new incarnation.
     Rejoin,
 }
 
-/// Collects what `foca` wants done.
+/// Collects what `foca` asks for during one call.
 #[derive(Default)]
-struct Wants {
+struct FocaOutput {
     sends: Vec<(Id, Vec<u8>)>,
     timers: Vec<(Timer<Id>, Duration)>,
     up: Vec<Id>,
     down: Vec<Id>,
-    again: Vec<Id>,
+    renamed: Vec<Id>,
     defunct: bool,
 }
 
-impl foca::Runtime<Id> for &mut Wants {
+impl foca::Runtime<Id> for &mut FocaOutput {
     fn notify(&mut self, notification: Notification<'_, Id>) {
         match notification {
             Notification::MemberUp(id) => self.up.push(id.clone()),
             Notification::MemberDown(id) => self.down.push(id.clone()),
-            Notification::Rename(_, id) => self.again.push(id.clone()),
+            Notification::Rename(_, id) => self.renamed.push(id.clone()),
             Notification::Defunct => self.defunct = true,
             _ => {}
         }
@@ -166,357 +173,376 @@
     }
 }
 
-/// Words, as `foca` spreads them.
-struct Spread(Rc<RefCell<Words>>);
+/// Spreads [`InfoRecord`]s as custom broadcasts of `foca`.
+struct InfoBroadcast(Rc<RefCell<InfoTable>>);
 
-/// Of two words of one node the later one is spread.
-struct Key {
+/// Identifies a queued record: a later record of the same node replaces an earlier one.
+struct BroadcastKey {
     name: Name,
-    order: (u64, u32),
+    full_version: (u64, u32),
 }
 
-impl Invalidates for Key {
+impl Invalidates for BroadcastKey {
     fn invalidates(&self, other: &Self) -> bool {
-        self.name == other.name && self.order >= other.order
+        self.name == other.name && self.full_version >= other.full_version
     }
 }
 
-impl BroadcastHandler<Id> for Spread {
-    type Key = Key;
+impl BroadcastHandler<Id> for InfoBroadcast {
+    type Key = BroadcastKey;
     type Error = postcard::Error;
 
-    fn receive_item(&mut self, data: &[u8], _: Option<&Id>) -> Result<Option<Key>, postcard::Error> {
-        let word: Word = postcard::from_bytes(data)?;
-        let key = Key { name: word.name.clone(), order: (word.incarnation, word.version) };
-        Ok(self.0.borrow_mut().take(word).then_some(key))
+    fn receive_item(&mut self, data: &[u8], _: Option<&Id>) -> Result<Option<BroadcastKey>, postcard::Error> {
+        let record: InfoRecord = postcard::from_bytes(data)?;
+        let key =
+            BroadcastKey { name: record.name.clone(), full_version: (record.incarnation, record.version) };
+        Ok(self.0.borrow_mut().insert_if_newer(record).then_some(key))
     }
 }
 
-/// When a peer was last heard, and what of it has come.
+/// When a peer was heard from, and which of its datagrams have arrived.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
     incarnation: u64,
     window: Window,
-    heard: Millis,
-    /// When this coming was first heard.
-    since: Millis,
+    last_heard: Millis,
+    /// When this incarnation was first heard from.
+    known_since: Millis,
 }
 
-/// One node's view of its fleet.
+/// One node's view of its fleet, and its part in the protocol.
 pub struct Fleet {
-    foca: Library,
-    words: Rc<RefCell<Words>>,
+    foca: FocaInstance,
+    info_table: Rc<RefCell<InfoTable>>,
     timers: Timers<Due>,
     keys: Keys,
     rng: StdRng,
     id: Id,
     seeds: Vec<SocketAddr>,
     sequence: u64,
-    /// This node's own word, counted.
-    version: u32,
+    /// Counts this node's own info records within its incarnation.
+    info_version: u32,
     said: Said,
     peers: HashMap<Name, Peer>,
-    /// Since when nodes are held dead.
-    died: HashMap<Name, Millis>,
+    /// When each dead node was declared dead.
+    dead_since: HashMap<Name, Millis>,
     health: Health,
-    coming: coming::Coming,
+    rejoin_state: coming::RejoinState,
     settling: exchange::Settling,
-    digest: RefCell<view::Cached>,
-    orders: VecDeque<Order>,
+    digest: RefCell<view::CachedDigest>,
+    actions: VecDeque<Order>,
     events: VecDeque<Event>,
-    beside: VecDeque<(Name, Vec<u8>)>,
+    user_messages: VecDeque<(Name, Vec<u8>)>,
     figures: Figures,
-    /// Counts changes of membership, for caches.
+    /// Counts membership changes, to invalidate caches.
     changes: u64,
-    full: bool,
+    full_reported: bool,
     leaving: bool,
 }
 
 fn config() -> foca::Config {
-    let some = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
+    let non_zero = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let every = |ms: u64, to: usize| {
-        Some(foca::PeriodicParams { frequency: Duration::from_millis(ms), num_members: some(to) })
+        Some(foca::PeriodicParams { frequency: Duration::from_millis(ms), num_members: non_zero(to) })
     };
     foca::Config {
-        probe_period: Duration::from_millis(PROBE_MS),
-        probe_rtt: Duration::from_millis(RTT_MS),
-        num_indirect_probes: some(OVER_OTHERS),
-        max_transmissions: NonZeroU8::new(TELLINGS).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: Duration::from_millis(SUSPECT_MS),
-        remove_down_after: Some(Duration::from_millis(FORGET_MS)),
-        max_packet_size: some(wire::GOSSIP),
+        probe_period: Duration::from_millis(PROBE_PERIOD_MS),
+        probe_rtt: Duration::from_millis(PROBE_RTT_MS),
+        num_indirect_probes: non_zero(INDIRECT_PROBES),
+        max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
+        suspect_to_down_after: Duration::from_millis(SUSPICION_TIMEOUT_MS),
+        remove_down_after: Some(Duration::from_millis(FORGET_DEAD_AFTER_MS)),
+        max_packet_size: non_zero(wire::MAX_GOSSIP_BYTES),
         notify_down_members: true,
-        // Exchanges do this by digest.
+        // Exchanges do this, and compare digests first.
         periodic_announce: None,
-        periodic_announce_to_down_members: every(DEAD_MS, 1),
-        periodic_gossip: every(GOSSIP_MS, GOSSIP_TO),
+        periodic_announce_to_down_members: every(ANNOUNCE_TO_DEAD_MS, 1),
+        periodic_gossip: every(GOSSIP_PERIOD_MS, GOSSIP_FANOUT),
     }
 }
 
-type Library = Foca<Id, PostcardCodec, StdRng, Spread>;
-
-fn library(id: &Id, rng: &mut StdRng, words: &Rc<RefCell<Words>>) -> Library {
-    let draws = StdRng::from_rng(rng);
-    Foca::with_custom_broadcast(id.clone(), config(), draws, PostcardCodec, Spread(words.clone()))
+type FocaInstance = Foca<Id, PostcardCodec, StdRng, InfoBroadcast>;
+
+fn new_foca(id: &Id, rng: &mut StdRng, info_table: &Rc<RefCell<InfoTable>>) -> FocaInstance {
+    let foca_rng = StdRng::from_rng(rng);
+    Foca::with_custom_broadcast(
+        id.clone(),
+        config(),
+        foca_rng,
+        PostcardCodec,
+        InfoBroadcast(info_table.clone()),
+    )
 }
 
 impl Fleet {
-    /// A node that knows of nobody yet.
+    /// Creates a node that knows no other node yet and announces `said` about itself.
     pub fn new(now: Millis, setup: Setup, said: Said) -> Fleet {
         let Setup { id, seeds, keys, seed } = setup;
         let mut rng = StdRng::from_seed(seed);
-        let words = Rc::new(RefCell::new(Words::new(MOST)));
-        let foca = library(&id, &mut rng, &words);
+        let info_table = Rc::new(RefCell::new(InfoTable::new(MOST)));
+        let foca = new_foca(&id, &mut rng, &info_table);
         let mut timers = Timers::new();
         timers.set(now, Due::Seed);
         let mut fleet = Fleet {
             foca,
-            words,
+            info_table,
             timers,
             keys,
             rng,
             id,
             seeds,
             sequence: 0,
-            version: 0,
+            info_version: 0,
             said: Said::default(),
             peers: HashMap::new(),
-            died: HashMap::new(),
+            dead_since: HashMap::new(),
             health: Health::default(),
-            coming: coming::Coming::default(),
+            rejoin_state: coming::RejoinState::default(),
             settling: exchange::Settling::new(now),
             digest: RefCell::default(),
-            orders: VecDeque::new(),
+            actions: VecDeque::new(),
             events: VecDeque::new(),
-            beside: VecDeque::new(),
+            user_messages: VecDeque::new(),
             figures: Figures::default(),
             changes: 0,
-            full: false,
+            full_reported: false,
             leaving: false,
         };
         fleet.say(said);
-        fleet.set_exchange(now);
+        fleet.schedule_exchange(now);
         fleet
     }
 
-    /// Who this node is now.
+    /// The identity of this node under its current incarnation.
     pub fn id(&self) -> &Id {
         &self.id
     }
 
-    /// Seals under these keys from now on, and opens what is sealed under any of them.
+    /// Replaces the keys: seals under the new sealing key from now on, and opens what is sealed under any of
+    /// them.
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Says this of itself; nothing happens if it said the same before. Its age alone is no news.
+    /// Announces `said` about this node. Does nothing if only its uptime differs from the last announcement.
     pub fn say(&mut self, said: Said) {
-        if self.version > 0 && self.said == (Said { up_ms: self.said.up_ms, ..said.clone() }) {
+        if self.info_version > 0 && self.said == (Said { up_ms: self.said.up_ms, ..said.clone() }) {
             return;
         }
         self.said = said;
-        self.speak();
+        self.broadcast_info();
     }
 
-    /// The last word, once more and newer.
-    fn speak(&mut self) {
-        self.version += 1;
-        let word = Word {
+    /// Broadcasts this node's info as a new version.
+    fn broadcast_info(&mut self) {
+        self.info_version += 1;
+        let record = InfoRecord {
             name: self.id.name.clone(),
             incarnation: self.id.incarnation,
-            version: self.version,
+            version: self.info_version,
             fields: self.said.fields(),
         };
-        if let Ok(bytes) = postcard::to_stdvec(&word) {
-            // An error would say that the word is empty or too long: fields() sees to both.
+        if let Ok(bytes) = postcard::to_stdvec(&record) {
+            // Only an empty or oversized record is an error; `fields()` prevents both.
             let _ = self.foca.add_broadcast(&bytes);
         }
     }
 
-    /// Tells the others that this node goes, so that nobody has to suspect it. What follows is only sending.
+    /// Announces that this node leaves, so that no other has to suspect it first. After this the caller only
+    /// sends what is queued.
     pub fn leave(&mut self, now: Millis) {
-        self.awake(now);
-        if std::mem::replace(&mut self.leaving, true) || self.coming.stepped_back() {
+        self.detect_stall(now);
+        if std::mem::replace(&mut self.leaving, true) || self.rejoin_state.is_superseded() {
             return;
         }
         self.said.ready = Ready::Left;
-        self.speak();
-        let mut wants = Wants::default();
-        // Each telling goes to three nodes: so many that the word outlives some loss.
+        self.broadcast_info();
+        let mut output = FocaOutput::default();
+        // Each round goes to three nodes: enough for the announcement to survive some loss.
         for _ in 0..3 {
-            let _ = self.foca.gossip(&mut wants);
+            let _ = self.foca.gossip(&mut output);
         }
-        let _ = self.foca.leave_cluster(&mut wants);
-        wants.defunct = false;
-        self.carry_out(now, wants);
+        let _ = self.foca.leave_cluster(&mut output);
+        output.defunct = false;
+        self.apply_output(now, output);
     }
 
-    /// When [`Fleet::tick`] is to be called next.
+    /// When [`Fleet::tick`] must be called next.
     pub fn next_due(&self) -> Option<Millis> {
         self.timers.next()
     }
 
-    /// What is to be done next.
+    /// Takes the next action that the caller has to carry out.
     pub fn order(&mut self) -> Option<Order> {
-        self.orders.pop_front()
+        self.actions.pop_front()
     }
 
-    /// Sends something of another matter to a node, whatever state it is held in, sealed and guarded against replay as all
-    /// else. It may be lost, doubled or overtaken. False if the node is not known, or the bytes are too many.
+    /// Queues a user message for the node `to`, whatever its state in the view. It is sealed and protected
+    /// against replay like all datagrams, but may be lost, duplicated or reordered. Returns false if the node
+    /// is unknown or the message exceeds [`MAX_USER_MESSAGE_BYTES`].
     pub fn send_beside(&mut self, to: &str, bytes: &[u8]) -> bool {
         let to = self.foca.iter_membership_state().find(|member| *member.id().name == *to);
         let Some(address) = to.map(|member| member.id().address) else { return false };
-        if bytes.len() > MOST_BESIDE {
+        if bytes.len() > MAX_USER_MESSAGE_BYTES {
             return false;
         }
-        let message = Message::Beside { from: self.id.clone(), bytes: bytes.to_vec() };
+        let message = Message::User { from: self.id.clone(), bytes: bytes.to_vec() };
         self.send(address, &message);
         true
     }
 
-    /// Whether something of another matter waits to be taken.
+    /// Whether received user messages wait to be taken.
     pub fn has_beside(&self) -> bool {
-        !self.beside.is_empty()
+        !self.user_messages.is_empty()
     }
 
-    /// What another node has sent of another matter: who, and what.
+    /// Takes the next received user message, with the name of its sender.
     pub fn beside(&mut self) -> Option<(Name, Vec<u8>)> {
-        self.beside.pop_front()
+        self.user_messages.pop_front()
     }
 
-    /// What has happened.
+    /// Takes the next event.
     pub fn event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Time has come. Datagrams that wait are to be taken first: after a pause they tell who is alive.
+    /// Runs all timers that are due. Feed waiting datagrams first: after a pause they show which nodes are
+    /// up.
     pub fn tick(&mut self, now: Millis) {
-        self.awake(now);
+        self.detect_stall(now);
         while let Some(due) = self.timers.pop(now) {
             match due {
-                Due::Foca(timer) => self.foca_timer(now, timer),
-                Due::Tell(id, refuted, until) => self.tell(now, id, refuted, until),
-                Due::Exchange(round) => self.exchange_due(now, round),
+                Due::Foca(timer) => self.handle_foca_timer(now, timer),
+                Due::NotifySuspect(id, refutations, until) => {
+                    self.notify_suspect(now, id, refutations, until)
+                }
+                Due::Exchange(generation) => self.exchange_due(now, generation),
                 Due::Seed => self.seed_due(now),
-                Due::Ask => self.ask(now),
-                Due::Rejoin => self.come_again(now),
+                Due::CheckSuperseder => self.check_superseder(now),
+                Due::Rejoin => self.rejoin_due(now),
             }
         }
     }
 
-    /// Notices that the node stood still, and makes up for it.
-    fn awake(&mut self, now: Millis) {
-        let late = self.timers.next().map_or(0, |due| now.saturating_sub(due));
-        if late > STALL_MS {
-            self.timers.shift(late);
-            self.health.doubt();
+    /// Detects that the process was stalled, puts off all timers by the delay and raises the health score.
+    fn detect_stall(&mut self, now: Millis) {
+        let late_ms = self.timers.next().map_or(0, |due| now.saturating_sub(due));
+        if late_ms > STALL_MS {
+            self.timers.shift(late_ms);
+            self.health.worsen();
             self.figures.stalls += 1;
-            if late >= coming::LONG_MS {
-                self.events.push_back(Event::Stalled(late));
+            if late_ms >= coming::MIN_LOGGED_STALL_MS {
+                self.events.push_back(Event::Stalled(late_ms));
             }
         }
     }
 
-    fn foca_timer(&mut self, now: Millis, timer: Timer<Id>) {
-        let probes = matches!(timer, Timer::ProbeRandomMember(_));
+    fn handle_foca_timer(&mut self, now: Millis, timer: Timer<Id>) {
+        let is_probe = matches!(timer, Timer::ProbeRandomMember(_));
         if let Timer::RemoveDown(id) = &timer {
             self.forget(id);
         }
         if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-            // foca 2.0 tells a member that it is dead when its time as a suspect is over, even if it has refuted that
-            // since: each false alarm would make a node come again.
+            // When a suspicion times out, foca 2.0 tells the member that it is dead even if it has refuted
+            // the suspicion since. Every false suspicion would make a node rejoin.
             let suspect = Some((member_id.clone(), *incarnation, foca::State::Suspect));
-            if self.known(member_id) != suspect {
+            if self.lookup(member_id) != suspect {
                 return;
             }
-            if !self.coming.is_proven() {
-                self.timers.set(now + SUSPECT_MS, Due::Foca(timer));
+            if !self.rejoin_state.is_confirmed() {
+                self.timers.set(now + SUSPICION_TIMEOUT_MS, Due::Foca(timer));
                 return;
             }
         }
-        let mut wants = Wants::default();
-        // Errors tell of a probe that a changed identity interrupted: it goes on with the next.
-        let _ = self.foca.handle_timer(timer, &mut wants);
-        let failed = wants.timers.iter().any(|(timer, _)| matches!(timer, Timer::ChangeSuspectToDown { .. }));
-        self.carry_out(now, wants);
-        // One failure says more of the other than of this node: what it began is not stretched by itself.
-        if probes {
-            if failed { self.health.doubt() } else { self.health.trust() }
+        let mut output = FocaOutput::default();
+        // The only error is a probe interrupted by a change of identity; the next probe follows in any case.
+        let _ = self.foca.handle_timer(timer, &mut output);
+        let failed =
+            output.timers.iter().any(|(timer, _)| matches!(timer, Timer::ChangeSuspectToDown { .. }));
+        self.apply_output(now, output);
+        // A single failure says more about the other node than about this one: it changes the score only
+        // after the timers that it set, so that it does not stretch them itself.
+        if is_probe {
+            if failed { self.health.worsen() } else { self.health.improve() }
         }
     }
 
     fn forget(&mut self, id: &Id) {
-        if self.known(id).is_some_and(|(known, _, state)| known == *id && state == foca::State::Down) {
-            self.words.borrow_mut().forget(&id.name);
+        if self.lookup(id).is_some_and(|(known, _, state)| known == *id && state == foca::State::Down) {
+            self.info_table.borrow_mut().forget(&id.name);
             self.peers.remove(&id.name);
-            self.died.remove(&id.name);
+            self.dead_since.remove(&id.name);
             self.changes += 1;
         }
     }
 
-    /// Does what `foca` wants, and takes note.
-    fn carry_out(&mut self, now: Millis, wants: Wants) {
-        for (to, bytes) in wants.sends {
+    /// Carries out what `foca` asked for and records the changes of membership.
+    fn apply_output(&mut self, now: Millis, output: FocaOutput) {
+        for (to, bytes) in output.sends {
             self.send(to.address, &Message::Gossip(&bytes));
         }
-        for (timer, after) in wants.timers {
+        for (timer, after) in output.timers {
             let after = after.as_millis() as Millis;
             let after = match &timer {
                 Timer::ChangeSuspectToDown { member_id, incarnation, .. } => {
-                    let after = self.health.stretched(after);
-                    self.timers.set(now, Due::Tell(member_id.clone(), *incarnation, now + after));
+                    let after = self.health.scale(after);
+                    self.timers.set(now, Due::NotifySuspect(member_id.clone(), *incarnation, now + after));
                     after
                 }
-                Timer::SendIndirectProbe { .. } | Timer::ProbeRandomMember(_) => self.health.stretched(after),
+                Timer::SendIndirectProbe { .. } | Timer::ProbeRandomMember(_) => self.health.scale(after),
                 _ => after,
             };
             self.timers.set(now + after, Due::Foca(timer));
         }
-        let changed = !(wants.up.is_empty() && wants.down.is_empty() && wants.again.is_empty());
-        for id in wants.up {
-            self.died.remove(&id.name);
+        let changed = !(output.up.is_empty() && output.down.is_empty() && output.renamed.is_empty());
+        for id in output.up {
+            self.dead_since.remove(&id.name);
             self.events.push_back(Event::Up(id));
         }
-        for id in wants.down {
-            self.died.insert(id.name.clone(), now);
-            let left = self.words.borrow().of(&id).and_then(|word| Said::read(&word.fields));
+        for id in output.down {
+            self.dead_since.insert(id.name.clone(), now);
+            let left = self.info_table.borrow().get_for(&id).and_then(|record| Said::read(&record.fields));
             let left = left.is_some_and(|said| said.ready == Ready::Left);
             self.events.push_back(Event::Down(id, if left { State::Left } else { State::Dead }));
         }
-        for id in wants.again {
-            if self.known(&id).is_some_and(|(_, _, state)| state != foca::State::Down) {
-                self.died.remove(&id.name);
+        for id in output.renamed {
+            if self.lookup(&id).is_some_and(|(_, _, state)| state != foca::State::Down) {
+                self.dead_since.remove(&id.name);
                 self.events.push_back(Event::Again(id));
             }
         }
         if changed {
             self.changes += 1;
             self.figures.view_changes += 1;
-            self.unsettled(now);
+            self.mark_unsettled(now);
         }
-        if wants.defunct {
-            self.held_dead(now);
+        if output.defunct {
+            self.declared_dead(now);
         }
     }
 
-    /// What is known of a node: who, refutations, state.
-    fn known(&self, of: &Id) -> Option<(Id, u16, foca::State)> {
+    /// What is known about a node: its identity, its number of refutations and its state.
+    fn lookup(&self, of: &Id) -> Option<(Id, u16, foca::State)> {
         let member = self.foca.iter_membership_state().find(|member| member.id().is_same_node(of))?;
         Some((member.id().clone(), member.incarnation(), member.state()))
     }
 
-    /// Tells a suspect so, and again until it has answered or died.
-    fn tell(&mut self, now: Millis, about: Id, refuted: u16, until: Millis) {
-        match self.known(&about) {
-            Some((id, now_refuted, foca::State::Alive)) if id == about && now_refuted > refuted => {
-                // It was alive all along.
+    /// Tells a node that it is suspected, and schedules the next notice until it has refuted the suspicion or
+    /// has died.
+    fn notify_suspect(&mut self, now: Millis, about: Id, refutations: u16, until: Millis) {
+        match self.lookup(&about) {
+            Some((id, current_refutations, foca::State::Alive))
+                if id == about && current_refutations > refutations =>
+            {
+                // Refuted: the suspicion was false.
                 self.figures.false_alarms += 1;
-                self.health.doubt();
+                self.health.worsen();
             }
             Some((id, _, foca::State::Suspect)) if id == about && now < until => {
-                let message = Message::Suspected { from: self.id.clone(), about: about.clone(), refuted };
+                let message = Message::Suspected { from: self.id.clone(), about: about.clone(), refutations };
                 self.send(about.address, &message);
-                self.timers.set(now + TELL_MS, Due::Tell(about, refuted, until));
+                self.timers
+                    .set(now + SUSPECT_NOTICE_PERIOD_MS, Due::NotifySuspect(about, refutations, until));
             }
             _ => {}
         }
@@ -535,26 +561,27 @@
         if let Some(sealed) = hopmoor_seal::seal(&self.keys, Kind::Datagram, &plain, nonce) {
             self.figures.datagrams_out += 1;
             self.figures.bytes_out += sealed.len() as u64;
-            self.orders.push_back(Order::Send(to, sealed));
+            self.actions.push_back(Order::Send(to, sealed));
         }
     }
 
-    /// Takes a datagram. What is not sealed under one of the keys, or came before, changes nothing.
+    /// Handles a received datagram. One that is not sealed under a known key or was received before changes
+    /// nothing.
     ///
     /// # Errors
-    /// Why it was refused, for the log.
+    /// Why the datagram was refused, for the log.
     pub fn datagram(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
-        self.awake(now);
+        self.detect_stall(now);
         self.figures.datagrams_in += 1;
         self.figures.bytes_in += bytes.len() as u64;
-        let done = self.opened(now, bytes);
-        if done.is_err() {
+        let result = self.handle_datagram(now, bytes);
+        if result.is_err() {
             self.figures.refused += 1;
         }
-        done
+        result
     }
 
-    fn opened(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
+    fn handle_datagram(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
         if bytes.len() > DATAGRAM {
             return Err(Refused::Malformed);
         }
@@ -564,92 +591,97 @@
             Message::Gossip(data) => {
                 let (header, _): (foca::Header<Id>, _) =
                     postcard::take_from_bytes(data).map_err(|_| Refused::Malformed)?;
-                self.from(now, &header.src, sequence)?;
-                if self.earlier(now, &header.src) {
+                self.note_sender(now, &header.src, sequence)?;
+                if self.reject_stale_sender(now, &header.src) {
                     return Ok(());
                 }
                 if matches!(header.message, foca::Message::Ack(_) | foca::Message::ForwardedAck { .. })
                     && header.dst == self.id
                 {
-                    self.coming.prove();
+                    self.rejoin_state.confirm();
                 }
-                let kept = self.believed(now, data);
-                let mut wants = Wants::default();
-                // Errors tell of datagrams for an earlier coming of this node, and of words that can't be read.
-                let _ = self.foca.handle_data(kept.as_deref().unwrap_or(data), &mut wants);
-                self.carry_out(now, wants);
+                let filtered = self.filter_gossip(now, data);
+                let mut output = FocaOutput::default();
+                // Errors mean a datagram for an earlier incarnation of this node, or a record that can't be
+                // decoded.
+                let _ = self.foca.handle_data(filtered.as_deref().unwrap_or(data), &mut output);
+                self.apply_output(now, output);
             }
-            Message::Suspected { from, about, refuted } => {
-                self.from(now, &from, sequence)?;
-                if about == self.id && !self.earlier(now, &from) {
-                    let suspect = foca::Member::new(about, refuted, foca::State::Suspect);
-                    self.apply(now, vec![suspect], true);
-                    let mut wants = Wants::default();
-                    // Carries the count of refutations to the one that asked, whoever hears the rest.
-                    let _ = self.foca.announce(from, &mut wants);
-                    self.carry_out(now, wants);
+            Message::Suspected { from, about, refutations } => {
+                self.note_sender(now, &from, sequence)?;
+                if about == self.id && !self.reject_stale_sender(now, &from) {
+                    let suspect = foca::Member::new(about, refutations, foca::State::Suspect);
+                    self.apply_members(now, vec![suspect], true);
+                    let mut output = FocaOutput::default();
+                    // Takes the new refutation count to the node that suspects this one, whoever else hears
+                    // of it.
+                    let _ = self.foca.announce(from, &mut output);
+                    self.apply_output(now, output);
                 }
             }
             Message::Superseded { from, by, alive } => {
-                self.from(now, &from, sequence)?;
-                self.superseded(now, by, alive);
+                self.note_sender(now, &from, sequence)?;
+                self.handle_superseded(now, by, alive);
             }
-            Message::Beside { from, bytes } => {
-                self.from(now, &from, sequence)?;
-                if !self.earlier(now, &from) && self.beside.len() < BESIDE {
-                    self.beside.push_back((from.name, bytes));
+            Message::User { from, bytes } => {
+                self.note_sender(now, &from, sequence)?;
+                if !self.reject_stale_sender(now, &from)
+                    && self.user_messages.len() < MAX_QUEUED_USER_MESSAGES
+                {
+                    self.user_messages.push_back((from.name, bytes));
                 }
             }
-            Message::HeldDead { from, about } => {
-                self.from(now, &from, sequence)?;
+            Message::DeclaredDead { from, about } => {
+                self.note_sender(now, &from, sequence)?;
                 if about == self.id {
-                    self.held_dead(now);
+                    self.declared_dead(now);
                 }
             }
         }
         Ok(())
     }
 
-    /// Notes that a peer was heard; refuses what came before.
-    fn from(&mut self, now: Millis, id: &Id, sequence: u64) -> Result<(), Refused> {
+    /// Records that a peer was heard from, and refuses a datagram that was received before.
+    fn note_sender(&mut self, now: Millis, id: &Id, sequence: u64) -> Result<(), Refused> {
         if self.peers.len() >= MOST && !self.peers.contains_key(&id.name) {
             return Err(Refused::Full);
         }
         let peer = self.peers.entry(id.name.clone()).or_default();
         if id.incarnation > peer.incarnation {
-            *peer = Peer { incarnation: id.incarnation, since: now, ..Peer::default() };
+            *peer = Peer { incarnation: id.incarnation, known_since: now, ..Peer::default() };
         }
-        // An earlier coming has no window any more: it is only told that it is one, and that is harmless twice.
+        // There is no window for an earlier incarnation. Its datagrams only cause the notice that it is
+        // superseded, which does no harm if sent twice.
         if id.incarnation == peer.incarnation {
-            if !peer.window.take(sequence) {
+            if !peer.window.accept(sequence) {
                 return Err(Refused::Replayed);
             }
-            peer.heard = now;
+            peer.last_heard = now;
         }
         Ok(())
     }
 
-    fn apply(&mut self, now: Millis, members: Vec<foca::Member<Id>>, spread: bool) {
-        let mut wants = Wants::default();
-        let _ = self.foca.apply_many(members.into_iter(), spread, &mut wants);
-        self.carry_out(now, wants);
+    fn apply_members(&mut self, now: Millis, members: Vec<foca::Member<Id>>, spread: bool) {
+        let mut output = FocaOutput::default();
+        let _ = self.foca.apply_many(members.into_iter(), spread, &mut output);
+        self.apply_output(now, output);
     }
 }
 
-/// Why a datagram or frame was refused: for counters and the log.
+/// Why a datagram or frame was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// Not what it should be.
+    /// It can't be decoded or is too long.
     Malformed,
-    /// Sealed under a key that is not there.
+    /// It is sealed under a key that this node does not have.
     UnknownKey,
-    /// Altered, or made by somebody without the key.
+    /// It was altered, or made without the key.
     Forged,
-    /// It came before.
+    /// It was received before.
     Replayed,
-    /// A newer node may know what it is.
-    Unknown,
-    /// There is no room for more nodes.
+    /// Its type is unknown; it may come from a newer version.
+    UnknownType,
+    /// The view has no room for another node.
     Full,
 }
 
@@ -660,8 +692,8 @@
             Refused::UnknownKey => "unknown key",
             Refused::Forged => "forged",
             Refused::Replayed => "replayed",
-            Refused::Unknown => "of a newer kind",
-            Refused::Full => "no room",
+            Refused::UnknownType => "unknown message type",
+            Refused::Full => "view full",
         })
     }
 }
@@ -676,11 +708,11 @@
     }
 }
 
-impl From<Unread> for Refused {
-    fn from(why: Unread) -> Refused {
+impl From<DecodeError> for Refused {
+    fn from(why: DecodeError) -> Refused {
         match why {
-            Unread::Unknown => Refused::Unknown,
-            Unread::Malformed => Refused::Malformed,
+            DecodeError::UnknownType => Refused::UnknownType,
+            DecodeError::Malformed => Refused::Malformed,
         }
     }
 }
--- a/crates/fleet/src/replay.rs
+++ b/crates/fleet/src/replay.rs
@@ -1,29 +1,31 @@
-//! Datagrams that come twice: a sliding window of sequence numbers (RFC 4303, section 3.4.3).
+//! Protection against replayed datagrams: a sliding window of sequence numbers (RFC 4303, section 3.4.3).
 
-/// Numbers that may overtake each other: a sender's jitter times its rate, with room for bursts.
-const WIDTH: u64 = 128;
+/// How far datagrams may overtake each other and still be accepted: a sender's jitter times its rate, with
+/// room for bursts.
+const WINDOW_SIZE: u64 = 128;
 
-/// What has come from one coming of a sender.
+/// The sequence numbers received from one incarnation of a sender.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Window {
-    top: u64,
-    seen: u128,
+    highest: u64,
+    received: u128,
 }
 
 impl Window {
-    /// Takes a number; false if it came before, or is so late that this can't be told.
-    pub(crate) fn take(&mut self, number: u64) -> bool {
-        if number > self.top {
-            let ahead = number - self.top;
-            self.seen = if ahead < WIDTH { self.seen << ahead | 1 } else { 1 };
-            self.top = number;
+    /// Returns whether `sequence` is new, and records it. A number too far behind the highest one counts as a
+    /// replay, since the window no longer covers it.
+    pub(crate) fn accept(&mut self, sequence: u64) -> bool {
+        if sequence > self.highest {
+            let ahead = sequence - self.highest;
+            self.received = if ahead < WINDOW_SIZE { self.received << ahead | 1 } else { 1 };
+            self.highest = sequence;
             return true;
         }
-        let behind = self.top - number;
-        if behind >= WIDTH || self.seen & (1 << behind) != 0 {
+        let behind = self.highest - sequence;
+        if behind >= WINDOW_SIZE || self.received & (1 << behind) != 0 {
             return false;
         }
-        self.seen |= 1 << behind;
+        self.received |= 1 << behind;
         true
     }
 }
--- a/crates/fleet/src/replay/tests.rs
+++ b/crates/fleet/src/replay/tests.rs
@@ -3,18 +3,18 @@
 
 proptest! {
     #[test]
-    fn each_number_passes_once(numbers in prop::collection::vec(1u64..400, 1..400)) {
+    fn each_sequence_number_is_accepted_once(sequences in prop::collection::vec(1u64..400, 1..400)) {
         let mut window = Window::default();
-        let mut passed = std::collections::BTreeSet::new();
-        let mut top = 0;
-        for number in numbers {
-            let taken = window.take(number);
-            if taken {
-                prop_assert!(passed.insert(number));
+        let mut accepted = std::collections::BTreeSet::new();
+        let mut highest = 0;
+        for sequence in sequences {
+            let is_new = window.accept(sequence);
+            if is_new {
+                prop_assert!(accepted.insert(sequence));
             } else {
-                prop_assert!(passed.contains(&number) || top - number >= WIDTH);
+                prop_assert!(accepted.contains(&sequence) || highest - sequence >= WINDOW_SIZE);
             }
-            top = top.max(number);
+            highest = highest.max(sequence);
         }
     }
 }
--- a/crates/fleet/src/sharing.rs
+++ b/crates/fleet/src/sharing.rs
@@ -1,46 +1,48 @@
-//! How many nodes share the pool, by the view: for what each node reckons to be its part.
+//! The number of nodes that share the pool, according to the view. Each node uses it to estimate its part of
+//! the pool.
 //!
-//! A view that shrinks may be a partition, and the others may still be there, each with its part: a node that has been lost
-//! counts in full for a while and then fades. One that said that it goes counts no more. Nothing is said while the view
-//! changes, or when it holds nobody though others were named: what a node can't know it does not guess.
+//! A view that shrinks may mean a partition, with the missing nodes still at work and each using its part. So
+//! a dead node counts in full for a while, and then less and less. A node that announced its leave does not
+//! count. There is no number while the view changes, nor while it is empty although seeds are set: a wrong
+//! guess is worse than none.
 
 use crate::Fleet;
 use crate::identity::Millis;
 use foca::State;
 
-/// A lost node counts in full for this long: a partition that is longer has been seen by those on call.
-const FULL_MS: Millis = 60_000;
-/// And from then on less and less, until it no longer counts.
+/// A dead node counts in full for this long. A partition that lasts longer has been noticed by those on call.
+const FULL_WEIGHT_MS: Millis = 60_000;
+/// After that its weight falls to 0 over this time.
 const FADE_MS: Millis = 120_000;
 
-/// What a node that was lost so long ago still counts.
-fn counts(lost_ms: Millis) -> f64 {
-    1.0 - (lost_ms.saturating_sub(FULL_MS) as f64 / FADE_MS as f64).min(1.0)
+/// The weight, from 1 to 0, of a node that died `dead_for_ms` ago.
+fn weight(dead_for_ms: Millis) -> f64 {
+    1.0 - (dead_for_ms.saturating_sub(FULL_WEIGHT_MS) as f64 / FADE_MS as f64).min(1.0)
 }
 
 impl Fleet {
-    /// How many nodes share the pool; `None` while that can't be told.
+    /// The number of nodes that share the pool, this one included; `None` while it is not known.
     pub fn sharing(&self, now: Millis) -> Option<u32> {
-        let alone = self.foca.iter_membership_state().len() == 0 && !self.seeds.is_empty();
-        if alone || !self.is_settled(now) {
+        let knows_nobody = self.foca.iter_membership_state().len() == 0 && !self.seeds.is_empty();
+        if knows_nobody || !self.is_settled(now) {
             return None;
         }
-        let words = self.words.borrow();
-        let counted = |member: &foca::Member<crate::Id>| match member.state() {
+        let info_table = self.info_table.borrow();
+        let member_weight = |member: &foca::Member<crate::Id>| match member.state() {
             State::Alive | State::Suspect => 1.0,
             State::Down => {
-                let word = words.of(member.id());
-                let left = word.is_some_and(crate::Word::tells_left);
-                let lost = self
-                    .died
+                let record = info_table.get_for(member.id());
+                let left = record.is_some_and(crate::InfoRecord::has_left);
+                let dead_for_ms = self
+                    .dead_since
                     .get(&member.id().name)
-                    .map_or(FULL_MS + FADE_MS, |since| now.saturating_sub(*since));
-                if left { 0.0 } else { counts(lost) }
+                    .map_or(FULL_WEIGHT_MS + FADE_MS, |since| now.saturating_sub(*since));
+                if left { 0.0 } else { weight(dead_for_ms) }
             }
         };
-        let all: f64 = self.foca.iter_membership_state().map(counted).sum();
-        // Rounded up: a smaller part is the safer guess.
-        Some(1 + all.ceil() as u32)
+        let others: f64 = self.foca.iter_membership_state().map(member_weight).sum();
+        // Rounded up, because too small a part is the safer error.
+        Some(1 + others.ceil() as u32)
     }
 }
 
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -1,6 +1,6 @@
-//! What comes from a node that holds the key and means ill, or from one of another version.
+//! Messages from a malicious node that holds the key, and from nodes of other versions.
 
-use crate::wire::{Entry, Frame, Told};
+use crate::wire::{Entry, Frame, ReportedState};
 use crate::*;
 use hopmoor_seal::KEY_BYTES;
 
@@ -17,42 +17,46 @@
     Fleet::new(1_000, setup, Said { ready: Ready::Serving, ..Said::default() })
 }
 
-fn sealed(frame: &Frame) -> Vec<u8> {
+fn seal_frame(frame: &Frame) -> Vec<u8> {
     hopmoor_seal::seal(&keys(), Kind::Frame, &frame.write().unwrap(), [3; NONCE_BYTES]).unwrap()
 }
 
-/// Answers an exchange that the node begins with these entries.
-fn told(fleet: &mut Fleet, entries: Vec<Entry>) -> Result<Option<Vec<u8>>, Refused> {
+/// Has the node start an exchange and answers it with these entries.
+fn answer_exchange(fleet: &mut Fleet, entries: Vec<Entry>) -> Result<Option<Vec<u8>>, Refused> {
     let (mut exchange, hello) = fleet.call().unwrap();
     let plain = hopmoor_seal::open(&keys(), Kind::Frame, &hello).unwrap();
-    let Ok(Frame::Hello { salt, .. }) = Frame::read(&plain) else { panic!("no greeting") };
-    let state = Frame::State { from: id("x", 9), salt, wanted: None, entries };
-    fleet.frame(2_000, &mut exchange, &sealed(&state))
+    let Ok(Frame::Hello { challenge, .. }) = Frame::read(&plain) else { panic!("no Hello frame") };
+    let state = Frame::State { from: id("x", 9), challenge, next_challenge: None, entries };
+    fleet.frame(2_000, &mut exchange, &seal_frame(&state))
 }
 
-fn made_up(number: usize) -> Entry {
+fn invented_entry(number: usize) -> Entry {
     let name = format!("made-up-{number}");
-    let word = Word { name: name.as_str().into(), incarnation: 5, version: 1, fields: vec![4, 1, 1] };
-    Entry { id: id(&name, 9), refuted: 0, state: Told::Alive, dead_ms: 0, word: Some(word) }
+    let record = InfoRecord { name: name.as_str().into(), incarnation: 5, version: 1, fields: vec![4, 1, 1] };
+    Entry { id: id(&name, 9), refutations: 0, state: ReportedState::Alive, dead_ms: 0, record: Some(record) }
 }
 
 #[test]
-fn ten_thousand_made_up_names_are_bounded_and_told_once() {
+fn twenty_thousand_invented_names_are_bounded_and_reported_once() {
     let mut fleet = node("n", 1);
-    told(&mut fleet, vec![Entry { word: None, ..made_up(0) }]).unwrap();
-    told(&mut fleet, (0..10_000).map(made_up).collect()).unwrap();
-    told(&mut fleet, (10_000..20_000).map(made_up).collect()).unwrap();
+    answer_exchange(&mut fleet, vec![Entry { record: None, ..invented_entry(0) }]).unwrap();
+    answer_exchange(&mut fleet, (0..10_000).map(invented_entry).collect()).unwrap();
+    answer_exchange(&mut fleet, (10_000..20_000).map(invented_entry).collect()).unwrap();
     let view = fleet.view(2_000);
     assert_eq!(view.members.len(), MOST + 1);
-    assert!(fleet.words.borrow().len() <= MOST);
-    let full = std::iter::from_fn(|| fleet.event()).filter(|event| *event == Event::Full).count();
-    assert_eq!(full, 1);
-    // Who is known stays known: a datagram of a stranger that names strangers changes nothing.
-    let mut wants = Wants::default();
+    assert!(fleet.info_table.borrow().len() <= MOST);
+    let full_events = std::iter::from_fn(|| fleet.event()).filter(|event| *event == Event::Full).count();
+    assert_eq!(full_events, 1);
+    // With a full view, a datagram from an unknown node that reports further unknown nodes changes nothing.
+    let mut output = FocaOutput::default();
     let mut stranger = node("stranger", 2);
-    stranger.apply(1_000, (0..20).map(|n| foca::Member::alive(id(&format!("more-{n}"), 9))).collect(), true);
-    let _ = stranger.foca.announce(fleet.id.clone(), &mut wants);
-    stranger.carry_out(1_000, wants);
+    stranger.apply_members(
+        1_000,
+        (0..20).map(|n| foca::Member::alive(id(&format!("more-{n}"), 9))).collect(),
+        true,
+    );
+    let _ = stranger.foca.announce(fleet.id.clone(), &mut output);
+    stranger.apply_output(1_000, output);
     while let Some(order) = stranger.order() {
         if let Order::Send(_, bytes) = order {
             let _ = fleet.datagram(2_100, &bytes);
@@ -62,13 +66,13 @@
 }
 
 #[test]
-fn what_is_of_a_newer_kind_is_told_apart_and_changes_nothing() {
+fn unknown_malformed_and_forged_datagrams_are_told_apart_and_change_nothing() {
     let mut fleet = node("n", 1);
     let digest = fleet.digest();
     let mut plain = postcard::to_stdvec(&(7u64, 200u8)).unwrap();
     plain.extend_from_slice(b"from the future");
     let newer = hopmoor_seal::seal(&keys(), Kind::Datagram, &plain, [1; NONCE_BYTES]).unwrap();
-    assert_eq!(fleet.datagram(1_100, &newer), Err(Refused::Unknown));
+    assert_eq!(fleet.datagram(1_100, &newer), Err(Refused::UnknownType));
     assert_eq!(fleet.datagram(1_100, &newer[..20]), Err(Refused::Malformed));
     assert_eq!(fleet.datagram(1_100, &[0; DATAGRAM + 1]), Err(Refused::Malformed));
     let mut forged = newer.clone();
@@ -84,7 +88,7 @@
 #[test]
 fn a_replayed_datagram_or_frame_changes_nothing() {
     let (mut a, mut b) = (node("a", 1), node("b", 2));
-    a.apply(1_000, vec![foca::Member::alive(b.id.clone())], true);
+    a.apply_members(1_000, vec![foca::Member::alive(b.id.clone())], true);
     (1_000..1_300).for_each(|now| a.tick(now));
     let sent: Vec<Vec<u8>> = std::iter::from_fn(|| a.order())
         .filter_map(|order| match order {
@@ -101,62 +105,67 @@
         assert_eq!(b.datagram(1_500, bytes), Err(Refused::Replayed));
     }
     assert_eq!((b.digest(), b.view(1_500).members), before);
-    // An answer to another exchange finds nobody who waits for it.
+    // A frame that answers another exchange is refused.
     let (mut first, _) = b.call().unwrap();
-    let stale = Frame::State { from: id("x", 9), salt: 12, wanted: None, entries: vec![made_up(1)] };
-    assert_eq!(b.frame(1_600, &mut first, &sealed(&stale)), Err(Refused::Replayed));
+    let stale = Frame::State {
+        from: id("x", 9),
+        challenge: 12,
+        next_challenge: None,
+        entries: vec![invented_entry(1)],
+    };
+    assert_eq!(b.frame(1_600, &mut first, &seal_frame(&stale)), Err(Refused::Replayed));
     assert_eq!(b.digest(), before.0);
 }
 
 #[test]
-fn a_newer_nodes_fields_go_round_as_they_came() {
+fn unknown_fields_of_newer_versions_are_passed_on_unchanged() {
     let mut fleet = node("n", 1);
-    let mut entry = made_up(1);
+    let mut entry = invented_entry(1);
     let fields = vec![4, 1, 1, 201, 3, 1, 2, 3];
-    entry.word = entry.word.map(|word| Word { fields: fields.clone(), ..word });
-    told(&mut fleet, vec![entry]).unwrap();
-    let (mut there, answer) = (fleet.answer(), fleet.call().unwrap().1);
-    drop(answer);
-    let hello = Frame::Hello { from: id("m", 3), digest: [0; 32], salt: 4 };
-    let state = fleet.frame(2_100, &mut there, &sealed(&hello)).unwrap().unwrap();
+    entry.record = entry.record.map(|record| InfoRecord { fields: fields.clone(), ..record });
+    answer_exchange(&mut fleet, vec![entry]).unwrap();
+    let (mut exchange, own_hello) = (fleet.answer(), fleet.call().unwrap().1);
+    drop(own_hello);
+    let hello = Frame::Hello { from: id("m", 3), digest: [0; 32], challenge: 4 };
+    let state = fleet.frame(2_100, &mut exchange, &seal_frame(&hello)).unwrap().unwrap();
     let plain = hopmoor_seal::open(&keys(), Kind::Frame, &state).unwrap();
-    let Ok(Frame::State { entries, .. }) = Frame::read(&plain) else { panic!("no state") };
+    let Ok(Frame::State { entries, .. }) = Frame::read(&plain) else { panic!("no State frame") };
     let passed = entries.iter().find(|entry| &*entry.id.name == "made-up-1").unwrap();
-    assert_eq!(passed.word.as_ref().unwrap().fields, fields);
+    assert_eq!(passed.record.as_ref().unwrap().fields, fields);
     let seen = fleet.view(2_100).members.into_iter().find(|seen| &*seen.id.name == "made-up-1").unwrap();
     assert_eq!(seen.said.unwrap().ready, Ready::Serving);
 }
 
-/// Has one tell the other that a third is dead.
-fn tells_dead(teller: &mut Fleet, to: &mut Fleet, of: &Id, now: Millis) -> foca::State {
-    teller.apply(now, vec![foca::Member::down(of.clone())], true);
-    teller.apply(now, vec![foca::Member::alive(to.id.clone())], true);
-    let mut wants = Wants::default();
-    let _ = teller.foca.gossip(&mut wants);
-    teller.carry_out(now, wants);
-    while let Some(order) = teller.order() {
+/// Makes `reporter` tell `to` that `of` is dead, and returns the state in which `to` then holds it.
+fn report_dead(reporter: &mut Fleet, to: &mut Fleet, of: &Id, now: Millis) -> foca::State {
+    reporter.apply_members(now, vec![foca::Member::down(of.clone())], true);
+    reporter.apply_members(now, vec![foca::Member::alive(to.id.clone())], true);
+    let mut output = FocaOutput::default();
+    let _ = reporter.foca.gossip(&mut output);
+    reporter.apply_output(now, output);
+    while let Some(order) = reporter.order() {
         if let Order::Send(_, bytes) = order {
             let _ = to.datagram(now, &bytes);
         }
     }
-    to.known(of).unwrap().2
+    to.lookup(of).unwrap().2
 }
 
 #[test]
-fn a_death_is_believed_of_one_known_for_long_about_one_not_heard_since() {
+fn a_death_is_believed_if_the_sender_is_known_for_long_and_the_node_was_not_heard_recently() {
     let of = id("of", 9);
     let after = |known_for: Millis, heard: Option<Millis>| {
         let (mut a, mut b, mut c) = (node("a", 1), node("b", 2), node("of", 9));
         for fleet in [&mut a, &mut b] {
-            fleet.apply(1_000, vec![foca::Member::alive(of.clone())], true);
+            fleet.apply_members(1_000, vec![foca::Member::alive(of.clone())], true);
         }
         let now = 1_000 + known_for;
-        // They greet each other at first; what is not sent is not known.
-        tells_dead(&mut b, &mut a, &id("nobody", 8), 1_000);
+        // A first message makes the sender known; a message of the node itself, that it was heard.
+        report_dead(&mut b, &mut a, &id("nobody", 8), 1_000);
         if let Some(ago) = heard {
-            tells_dead(&mut c, &mut a, &id("nobody", 8), now - ago);
+            report_dead(&mut c, &mut a, &id("nobody", 8), now - ago);
         }
-        tells_dead(&mut b, &mut a, &of, now)
+        report_dead(&mut b, &mut a, &of, now)
     };
     assert_eq!(after(5_000, None), foca::State::Down);
     assert_eq!(after(500, None), foca::State::Suspect);
--- a/crates/fleet/src/timers.rs
+++ b/crates/fleet/src/timers.rs
@@ -1,23 +1,23 @@
-//! What is due when. The time of the view stands still while its node does: see [`Timers::shift`].
+//! A timer queue that can be put off as a whole: see [`Timers::shift`].
 
 use crate::identity::Millis;
 use std::collections::BTreeMap;
 
-/// Things due, in the order of their times and then of their setting.
+/// Items ordered by due time, and by insertion among those due at the same time.
 #[derive(Debug)]
 pub(crate) struct Timers<T> {
     due: BTreeMap<(Millis, u64), T>,
-    set: u64,
+    next_id: u64,
 }
 
 impl<T> Timers<T> {
     pub(crate) fn new() -> Self {
-        Timers { due: BTreeMap::new(), set: 0 }
+        Timers { due: BTreeMap::new(), next_id: 0 }
     }
 
-    pub(crate) fn set(&mut self, at: Millis, what: T) {
-        self.set += 1;
-        self.due.insert((at, self.set), what);
+    pub(crate) fn set(&mut self, at: Millis, item: T) {
+        self.next_id += 1;
+        self.due.insert((at, self.next_id), item);
     }
 
     pub(crate) fn next(&self) -> Option<Millis> {
@@ -29,14 +29,14 @@
         (first.key().0 <= now).then(|| first.remove())
     }
 
-    pub(crate) fn retain(&mut self, keeps: impl Fn(&T) -> bool) {
-        self.due.retain(|_, what| keeps(what));
+    pub(crate) fn retain(&mut self, keep: impl Fn(&T) -> bool) {
+        self.due.retain(|_, item| keep(item));
     }
 
-    /// All comes so much later. A process that was stopped finds everything overdue at once: probes would have failed and
-    /// suspects died in a time in which nobody could be heard.
+    /// Puts off all timers by `by`. A process that was stopped finds everything overdue at once. Without the
+    /// shift, probes would fail and suspects would die in a time in which no answer could be received.
     pub(crate) fn shift(&mut self, by: Millis) {
         self.due =
-            std::mem::take(&mut self.due).into_iter().map(|((at, n), what)| ((at + by, n), what)).collect();
+            std::mem::take(&mut self.due).into_iter().map(|((at, id), item)| ((at + by, id), item)).collect();
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,25 +1,25 @@
 //! The view as operators and the node read it, and its digest.
 
 use crate::identity::{Id, Millis};
-use crate::word::{Said, Word};
+use crate::word::{InfoRecord, Said};
 use crate::{Fleet, Ready};
 use sha2::{Digest, Sha256};
 
-/// What is held of a node.
+/// The state of a node in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It did not answer somebody, and has not said yet that it is alive.
+    /// It did not answer a probe, and has not refuted the suspicion yet.
     Suspect,
-    /// It was not heard of for too long.
+    /// It was suspected and did not refute this in time.
     Dead,
-    /// It said that it goes.
+    /// It announced its leave.
     Left,
 }
 
 impl State {
-    /// As operators read it.
+    /// The state as shown to operators.
     pub fn text(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -29,75 +29,75 @@
         }
     }
 
-    /// Whether it is held to be there.
+    /// Whether the node counts as up: alive, or only suspected.
     pub fn is_there(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// A node as seen by another.
+/// One node as another sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
-    /// Who.
+    /// Its identity.
     pub id: Id,
-    /// What is held of it.
+    /// Its state.
     pub state: State,
-    /// What it says of itself, if that has come.
+    /// What it announces about itself, if its record has arrived.
     pub said: Option<Said>,
-    /// How long ago it was heard itself; none if never.
+    /// How long ago it was last heard from directly; `None` if never.
     pub heard_ms: Option<Millis>,
 }
 
 /// What a node knows of its fleet at one time.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// Whose view.
+    /// The node whose view this is.
     pub id: Id,
-    /// Equal on two nodes exactly if they hold the same nodes to be there, each with the same word.
+    /// The digest of the view; see [`Fleet::digest`].
     pub digest: [u8; 32],
-    /// How much the node doubts itself: 0 if it does not.
+    /// The health score: 0 if the node trusts its own observations fully.
     pub doubts: u32,
-    /// Whether the view has stood for a while.
+    /// Whether the view has been stable for a while; see [`Fleet::is_settled`].
     pub settled: bool,
-    /// How many nodes share the pool, where that can be told.
+    /// The number of nodes that share the pool, if known.
     pub sharing: Option<u32>,
-    /// The later process of this name that it stepped back from.
+    /// The later process of this name that the node has yielded to.
     pub superseded_by: Option<Id>,
-    /// All nodes, itself included, by name.
+    /// All nodes by name, this one included.
     pub members: Vec<Seen>,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Datagrams that came.
+    /// Datagrams received.
     pub datagrams_in: u64,
-    /// Datagrams that were sent.
+    /// Datagrams sent.
     pub datagrams_out: u64,
-    /// Their bytes, and those of frames.
+    /// Bytes received in datagrams and frames.
     pub bytes_in: u64,
-    /// The same, sent.
+    /// Bytes sent in datagrams and frames.
     pub bytes_out: u64,
-    /// Datagrams and frames that were refused.
+    /// Datagrams and frames refused.
     pub refused: u64,
-    /// Nodes that came, went or came again.
+    /// Times that nodes joined, died, left or rejoined.
     pub view_changes: u64,
-    /// Exchanges that others began.
+    /// Exchanges that other nodes began with this one.
     pub exchanges: u64,
-    /// Suspicions of this node's own that were false.
+    /// Suspicions raised by this node that the suspect refuted.
     pub false_alarms: u64,
-    /// Times that this node stood still.
+    /// Times that this process was stalled.
     pub stalls: u64,
 }
 
-/// The digest, and what it was made of.
+/// The digest, and the change counters of the membership and the info table that it was computed at.
 #[derive(Debug, Default)]
-pub(crate) struct Cached {
+pub(crate) struct CachedDigest {
     of: Option<(u64, u64)>,
     digest: [u8; 32],
 }
 
-fn put(hash: &mut Sha256, id: &Id, word: Option<&Word>) {
+fn hash_member(hash: &mut Sha256, id: &Id, record: Option<&InfoRecord>) {
     let mut part = |bytes: &[u8]| {
         hash.update((bytes.len() as u64).to_le_bytes());
         hash.update(bytes);
@@ -105,39 +105,40 @@
     part(id.name.as_bytes());
     part(&id.incarnation.to_le_bytes());
     part(id.address.to_string().as_bytes());
-    match word {
-        Some(word) => {
-            part(&word.version.to_le_bytes());
-            part(&word.fields);
+    match record {
+        Some(record) => {
+            part(&record.version.to_le_bytes());
+            part(&record.fields);
         }
         None => part(&[]),
     }
 }
 
 impl Fleet {
-    /// Equal on two nodes exactly if they hold the same nodes to be there, each with the same word.
+    /// The digest of the view. Equal on two nodes if and only if they hold the same nodes to be up, each with
+    /// the same info record.
     pub fn digest(&self) -> [u8; 32] {
-        let words = self.words.borrow();
+        let info_table = self.info_table.borrow();
         let mut cached = self.digest.borrow_mut();
-        let now = Some((self.changes, words.changes));
+        let now = Some((self.changes, info_table.changes));
         if cached.of != now {
             let mut there: Vec<&Id> = self.foca.iter_members().map(foca::Member::id).collect();
             there.push(&self.id);
             there.sort();
             let mut hash = Sha256::new();
             for id in there {
-                put(&mut hash, id, words.of(id));
+                hash_member(&mut hash, id, info_table.get_for(id));
             }
-            *cached = Cached { of: now, digest: hash.finalize().into() };
+            *cached = CachedDigest { of: now, digest: hash.finalize().into() };
         }
         cached.digest
     }
 
-    /// All that is known now.
+    /// The view at this time.
     pub fn view(&self, now: Millis) -> View {
-        let words = self.words.borrow();
+        let info_table = self.info_table.borrow();
         let seen = |id: &Id, state: State, heard_ms: Option<Millis>| {
-            let said = words.of(id).and_then(|word| Said::read(&word.fields));
+            let said = info_table.get_for(id).and_then(|record| Said::read(&record.fields));
             let left = said.as_ref().is_some_and(|said| said.ready == Ready::Left);
             let state = if state == State::Dead && left { State::Left } else { state };
             Seen { id: id.clone(), state, said, heard_ms }
@@ -151,7 +152,7 @@
             };
             let peer = self.peers.get(&member.id().name);
             let heard = peer.filter(|peer| peer.incarnation == member.id().incarnation);
-            members.push(seen(member.id(), state, heard.map(|peer| now.saturating_sub(peer.heard))));
+            members.push(seen(member.id(), state, heard.map(|peer| now.saturating_sub(peer.last_heard))));
         }
         members.sort_by(|a, b| a.id.cmp(&b.id));
         View {
@@ -165,12 +166,12 @@
         }
     }
 
-    /// Counts since the start.
+    /// The counters since the start.
     pub fn figures(&self) -> Figures {
         self.figures
     }
 
-    /// How many are held alive, suspect, and dead or left; this node is one of the living.
+    /// The numbers of alive, suspected, and dead or left nodes. This node counts as alive.
     pub fn counts(&self) -> (usize, usize, usize) {
         let mut counts = (1, 0, 0);
         for member in self.foca.iter_membership_state() {
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,69 +1,69 @@
-//! Datagrams and frames, before they are sealed: see `docs/fleet-view.md` for the layout. Numbers that are not known are
-//! told apart from bytes that can't be read, since a newer node may send them.
+//! Encoding of datagrams and frames before they are sealed; `docs/fleet-view.md` describes the layout. An
+//! unknown message type is told apart from malformed bytes, since newer versions may send it.
 
 use crate::identity::{Id, Millis};
-use crate::word::Word;
+use crate::word::InfoRecord;
 use serde::{Deserialize, Serialize};
 
-/// The largest datagram: below the least MTU that links have.
+/// Most bytes of a datagram: below the smallest MTU of usual links.
 pub const DATAGRAM: usize = 1_400;
-/// The largest frame: 4,096 nodes with the longest names and words, some 700 bytes each.
+/// Most bytes of a frame: 4,096 nodes with the longest names and info records, some 700 bytes each.
 pub const FRAME: usize = 3 << 20;
-/// What of a datagram is left for `foca`: less the seal, sequence and number.
-pub(crate) const GOSSIP: usize = DATAGRAM - hopmoor_seal::OVERHEAD - 11;
+/// Most bytes of `foca`'s part of a datagram: what the seal, the sequence number and the message type leave.
+pub(crate) const MAX_GOSSIP_BYTES: usize = DATAGRAM - hopmoor_seal::OVERHEAD - 11;
 
-/// One of our own messages beside `foca`'s.
+/// A datagram's message: one of `foca`'s, or one of the messages added here.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Message<'a> {
-    /// `foca`'s.
+    /// A message of `foca`, encoded by it.
     Gossip(&'a [u8]),
-    /// Told to a suspect, so that it need not wait for the news to come round.
-    Suspected { from: Id, about: Id, refuted: u16 },
-    /// Told to an earlier coming of a node: a later one is known.
+    /// Tells a node that it is suspected, so that it can refute without waiting for gossip.
+    Suspected { from: Id, about: Id, refutations: u16 },
+    /// Tells an earlier incarnation of a node that a later one is known, and whether that one is up.
     Superseded { from: Id, by: Id, alive: bool },
-    /// Told to a node whom somebody holds dead.
-    HeldDead { from: Id, about: Id },
-    /// Of another matter than the view: bytes that the view does not read.
-    Beside { from: Id, bytes: Vec<u8> },
+    /// Tells a node that somebody holds it dead.
+    DeclaredDead { from: Id, about: Id },
+    /// A message of another protocol, whose bytes this crate does not interpret.
+    User { from: Id, bytes: Vec<u8> },
 }
 
-/// Why a datagram or frame is dropped.
+/// Why a datagram or frame can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unread {
-    /// A number that a newer node may know.
-    Unknown,
-    /// Not what it should be.
+pub(crate) enum DecodeError {
+    /// The message type is unknown; a newer version may define it.
+    UnknownType,
+    /// The bytes are malformed.
     Malformed,
 }
 
-impl From<postcard::Error> for Unread {
-    fn from(_: postcard::Error) -> Unread {
-        Unread::Malformed
+impl From<postcard::Error> for DecodeError {
+    fn from(_: postcard::Error) -> DecodeError {
+        DecodeError::Malformed
     }
 }
 
 pub(crate) fn datagram(sequence: u64, message: &Message<'_>) -> Option<Vec<u8>> {
-    let (number, body) = match message {
+    let (type_id, body) = match message {
         Message::Gossip(bytes) => (0u8, bytes.to_vec()),
-        Message::Suspected { from, about, refuted } => {
-            (1, postcard::to_stdvec(&(from, about, refuted)).ok()?)
+        Message::Suspected { from, about, refutations } => {
+            (1, postcard::to_stdvec(&(from, about, refutations)).ok()?)
         }
         Message::Superseded { from, by, alive } => (2, postcard::to_stdvec(&(from, by, alive)).ok()?),
-        Message::HeldDead { from, about } => (3, postcard::to_stdvec(&(from, about)).ok()?),
-        Message::Beside { from, bytes } => (4, postcard::to_stdvec(&(from, bytes)).ok()?),
+        Message::DeclaredDead { from, about } => (3, postcard::to_stdvec(&(from, about)).ok()?),
+        Message::User { from, bytes } => (4, postcard::to_stdvec(&(from, bytes)).ok()?),
     };
-    let mut plain = postcard::to_stdvec(&(sequence, number)).ok()?;
+    let mut plain = postcard::to_stdvec(&(sequence, type_id)).ok()?;
     plain.extend_from_slice(&body);
     Some(plain)
 }
 
-pub(crate) fn read(plain: &[u8]) -> Result<(u64, Message<'_>), Unread> {
-    let ((sequence, number), body): ((u64, u8), _) = postcard::take_from_bytes(plain)?;
-    let message = match number {
+pub(crate) fn read(plain: &[u8]) -> Result<(u64, Message<'_>), DecodeError> {
+    let ((sequence, type_id), body): ((u64, u8), _) = postcard::take_from_bytes(plain)?;
+    let message = match type_id {
         0 => Message::Gossip(body),
         1 => {
-            let (from, about, refuted) = postcard::from_bytes(body)?;
-            Message::Suspected { from, about, refuted }
+            let (from, about, refutations) = postcard::from_bytes(body)?;
+            Message::Suspected { from, about, refutations }
         }
         2 => {
             let (from, by, alive) = postcard::from_bytes(body)?;
@@ -71,73 +71,76 @@
         }
         3 => {
             let (from, about) = postcard::from_bytes(body)?;
-            Message::HeldDead { from, about }
+            Message::DeclaredDead { from, about }
         }
         4 => {
             let (from, bytes) = postcard::from_bytes(body)?;
-            Message::Beside { from, bytes }
+            Message::User { from, bytes }
         }
-        _ => return Err(Unread::Unknown),
+        _ => return Err(DecodeError::UnknownType),
     };
     Ok((sequence, message))
 }
 
-/// What a node tells of another in an exchange.
+/// What one node tells another of a third in an exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Entry {
     pub(crate) id: Id,
-    /// `foca`'s own count of refutations.
-    pub(crate) refuted: u16,
-    pub(crate) state: Told,
-    /// For how long it has been held dead.
+    /// How often the node has refuted a suspicion; `foca` calls this its incarnation.
+    pub(crate) refutations: u16,
+    pub(crate) state: ReportedState,
+    /// For how long it has been dead.
     pub(crate) dead_ms: Millis,
-    pub(crate) word: Option<Word>,
+    pub(crate) record: Option<InfoRecord>,
 }
 
-/// A state as told.
+/// A node's state as reported in an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Told {
+pub(crate) enum ReportedState {
     Alive,
     Suspect,
     Dead,
 }
 
-/// A frame of an exchange. `salt` is drawn by the caller for each exchange and comes back in its answer: a frame that is
-/// played again finds nobody who waits for it.
+/// A frame of an exchange. The caller draws a new `challenge` for each exchange and the reply repeats it, so
+/// a replayed frame matches no exchange in progress. `next_challenge` is the callee's own, which the caller's
+/// `State` must repeat.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Frame {
-    Hello { from: Id, digest: [u8; 32], salt: u64 },
-    Same { salt: u64 },
-    State { from: Id, salt: u64, wanted: Option<u64>, entries: Vec<Entry> },
+    Hello { from: Id, digest: [u8; 32], challenge: u64 },
+    Same { challenge: u64 },
+    State { from: Id, challenge: u64, next_challenge: Option<u64>, entries: Vec<Entry> },
 }
 
 impl Frame {
     pub(crate) fn write(&self) -> Option<Vec<u8>> {
-        let (number, body) = match self {
-            Frame::Hello { from, digest, salt } => (0u8, postcard::to_stdvec(&(from, digest, salt))),
-            Frame::Same { salt } => (1, postcard::to_stdvec(salt)),
-            Frame::State { from, salt, wanted, entries } => {
-                (2, postcard::to_stdvec(&(from, salt, wanted, entries)))
+        let (type_id, body) = match self {
+            Frame::Hello { from, digest, challenge } => {
+                (0u8, postcard::to_stdvec(&(from, digest, challenge)))
+            }
+            Frame::Same { challenge } => (1, postcard::to_stdvec(challenge)),
+            Frame::State { from, challenge, next_challenge, entries } => {
+                (2, postcard::to_stdvec(&(from, challenge, next_challenge, entries)))
             }
         };
-        let mut plain = vec![number];
+        let mut plain = vec![type_id];
         plain.extend_from_slice(&body.ok()?);
         Some(plain)
     }
 
-    pub(crate) fn read(plain: &[u8]) -> Result<Frame, Unread> {
-        let (&number, body) = plain.split_first().ok_or(Unread::Malformed)?;
-        Ok(match number {
+    pub(crate) fn read(plain: &[u8]) -> Result<Frame, DecodeError> {
+        let (&type_id, body) = plain.split_first().ok_or(DecodeError::Malformed)?;
+        Ok(match type_id {
             0 => {
-                let (from, digest, salt) = postcard::from_bytes(body)?;
-                Frame::Hello { from, digest, salt }
+                let (from, digest, challenge) = postcard::from_bytes(body)?;
+                Frame::Hello { from, digest, challenge }
             }
-            1 => Frame::Same { salt: postcard::from_bytes(body)? },
+            1 => Frame::Same { challenge: postcard::from_bytes(body)? },
             2 => {
-                let (from, salt, wanted, entries) = postcard::from_bytes(body)?;
-                Frame::State { from, salt, wanted, entries }
+                let (from, challenge, next_challenge, entries) = postcard::from_bytes(body)?;
+                Frame::State { from, challenge, next_challenge, entries }
             }
-            _ => return Err(Unread::Unknown),
+            _ => return Err(DecodeError::UnknownType),
         })
     }
 }
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/word.rs
@@ -1,29 +1,31 @@
-//! A word: what a node says of itself. Others keep its last one and pass it on byte for byte, with what they can't read.
+//! What a node announces about itself, and the latest announcement of each node. Other nodes keep a record
+//! and pass it on byte for byte, with the fields of newer versions that they can't read.
 
 use crate::identity::Name;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::HashMap;
 
-/// Bytes of a word's fields, at most.
-pub const WORD_BYTES: usize = 512;
-/// Bytes of a digest in a word: what tells versions apart, not what proves them.
+/// Most bytes of a record's fields.
+pub const MAX_INFO_BYTES: usize = 512;
+/// Bytes of the digests that a node announces. They tell versions apart and are too short to prove
+/// authenticity.
 pub const DIGEST_BYTES: usize = 8;
 
 /// Whether a node takes clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Ready {
-    /// It does not serve yet, or can't.
+    /// It does not serve, because it is starting or can't.
     #[default]
     NotReady = 0,
     /// It serves.
     Serving = 1,
-    /// It takes no clients, and stays.
+    /// It takes no new clients but goes on running.
     Draining = 2,
-    /// It ends.
+    /// It is shutting down.
     Ending = 3,
-    /// It has gone, and said so.
+    /// It has announced its leave.
     Left = 4,
 }
 
@@ -34,12 +36,12 @@
             2 => Ready::Draining,
             3 => Ready::Ending,
             4 => Ready::Left,
-            // What a newer node may be in is none that this one knows to serve.
+            // A state that only newer versions know does not count as serving.
             _ => Ready::NotReady,
         }
     }
 
-    /// In words, as operators read it.
+    /// The state as shown to operators.
     pub fn text(self) -> &'static str {
         match self {
             Ready::NotReady => "not ready",
@@ -51,14 +53,14 @@
     }
 }
 
-/// What a node says of itself, as far as this program can read it.
+/// What a node announces about itself, as far as this version can read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Said {
     /// Its zone.
     pub zone: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub clients: String,
-    /// Where operators call; empty: nowhere.
+    /// The address for operators; empty if there is none.
     pub admin: String,
     /// Whether it takes clients.
     pub ready: Ready,
@@ -66,13 +68,13 @@
     pub program: Vec<u8>,
     /// Digest of its configuration.
     pub config: Vec<u8>,
-    /// How long it had run when it said so, in milliseconds.
+    /// Its uptime when it announced this, in milliseconds.
     pub up_ms: u64,
-    /// Connections that it could still take.
+    /// How many more connections it can take.
     pub room: u32,
 }
 
-/// The numbers of the fields: the format. None is used again for another.
+/// Field numbers on the wire. A number is never reused for another field.
 mod tag {
     pub const ZONE: u8 = 1;
     pub const CLIENTS: u8 = 2;
@@ -85,17 +87,18 @@
 }
 
 impl Said {
-    /// As fields: `tag u8 | length u8 | bytes`, each at most 255 bytes and all at most [`WORD_BYTES`].
+    /// Encodes the fields as `tag u8 | length u8 | bytes`. A value is cut to 255 bytes; fields that would
+    /// exceed [`MAX_INFO_BYTES`] in all are left out.
     pub fn fields(&self) -> Vec<u8> {
         let mut fields = Vec::new();
         let mut put = |tag: u8, bytes: &[u8]| {
             let bytes = &bytes[..bytes.len().min(usize::from(u8::MAX))];
-            if !bytes.is_empty() && fields.len() + 2 + bytes.len() <= WORD_BYTES {
+            if !bytes.is_empty() && fields.len() + 2 + bytes.len() <= MAX_INFO_BYTES {
                 fields.extend_from_slice(&[tag, bytes.len() as u8]);
                 fields.extend_from_slice(bytes);
             }
         };
-        // Those that the fleet goes by come first: they never fall to the limit.
+        // The fields that the protocol relies on come first, so that the limit never drops them.
         put(tag::READY, &[self.ready as u8]);
         put(tag::UP_MS, &self.up_ms.to_le_bytes());
         put(tag::ROOM, &self.room.to_le_bytes());
@@ -107,7 +110,7 @@
         fields
     }
 
-    /// Reads fields; unknown ones are passed over. `None` if they are not cut as fields are.
+    /// Decodes fields and skips unknown ones; `None` if a length or a value is malformed.
     pub fn read(mut fields: &[u8]) -> Option<Said> {
         let mut said = Said::default();
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -130,7 +133,7 @@
     }
 }
 
-/// A digest that tells versions of the same thing apart.
+/// A digest that tells versions of the same data apart; see [`DIGEST_BYTES`].
 pub fn digest<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Vec<u8> {
     let mut hash = Sha256::new();
     for part in parts {
@@ -140,88 +143,90 @@
     hash.finalize()[..DIGEST_BYTES].to_vec()
 }
 
-/// The room to tell of: the last that was told, unless it has changed by an eighth of the most there could be, or come to
-/// nothing or from it. Each telling goes round the whole fleet.
-pub fn room(told: u32, now: u32, most: u32) -> u32 {
-    let news = now.abs_diff(told) >= (most / 8).max(1) || (now == 0) != (told == 0);
-    if news { now } else { told }
+/// Returns the number of free connections to announce: `free` if it differs from the announced number by at
+/// least an eighth of `limit`, or if one of the two is 0 and the other is not; else `announced`. Each
+/// announcement goes to the whole fleet.
+pub fn room(announced: u32, free: u32, limit: u32) -> u32 {
+    let changed = free.abs_diff(announced) >= (limit / 8).max(1) || (free == 0) != (announced == 0);
+    if changed { free } else { announced }
 }
 
-/// A word as it goes round.
+/// A version of a node's info, as it is spread through the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
-    /// Whose.
+pub struct InfoRecord {
+    /// The node's name.
     pub name: Name,
-    /// Said in which coming.
+    /// The incarnation that announced it.
     pub incarnation: u64,
-    /// Counts its words in that coming.
+    /// Counts the versions within the incarnation.
     pub version: u32,
-    /// The fields, unread.
+    /// The encoded fields; see [`Said::fields`].
     pub fields: Vec<u8>,
 }
 
-impl Word {
-    fn order(&self) -> (u64, u32) {
+impl InfoRecord {
+    fn full_version(&self) -> (u64, u32) {
         (self.incarnation, self.version)
     }
 
-    /// Whether the node says that it goes.
-    pub(crate) fn tells_left(&self) -> bool {
+    /// Whether the node announces its leave.
+    pub(crate) fn has_left(&self) -> bool {
         Said::read(&self.fields).is_some_and(|said| said.ready == Ready::Left)
     }
 }
 
-/// The last word of each node.
+/// The latest record of each node.
 #[derive(Debug, Default)]
-pub(crate) struct Words {
-    words: HashMap<Name, Word>,
-    /// Counts changes, for caches.
+pub(crate) struct InfoTable {
+    records: HashMap<Name, InfoRecord>,
+    /// Counts changes, to invalidate caches.
     pub(crate) changes: u64,
-    most: usize,
-    pub(crate) bad: u64,
+    capacity: usize,
+    pub(crate) rejected: u64,
 }
 
-impl Words {
-    pub(crate) fn new(most: usize) -> Words {
-        Words { most, ..Words::default() }
+impl InfoTable {
+    pub(crate) fn new(capacity: usize) -> InfoTable {
+        InfoTable { capacity, ..InfoTable::default() }
     }
 
-    pub(crate) fn get(&self, name: &str) -> Option<&Word> {
-        self.words.get(name)
+    pub(crate) fn get(&self, name: &str) -> Option<&InfoRecord> {
+        self.records.get(name)
     }
 
-    /// The word of this coming of a node.
-    pub(crate) fn of(&self, id: &crate::Id) -> Option<&Word> {
-        self.get(&id.name).filter(|word| word.incarnation == id.incarnation)
+    /// The record of this incarnation of a node.
+    pub(crate) fn get_for(&self, id: &crate::Id) -> Option<&InfoRecord> {
+        self.get(&id.name).filter(|record| record.incarnation == id.incarnation)
     }
 
-    /// Takes a word; true if it is news. Of two the later one stands, in whatever order they come.
-    pub(crate) fn take(&mut self, word: Word) -> bool {
-        if word.fields.len() > WORD_BYTES
-            || !crate::identity::is_name(&word.name)
-            || Said::read(&word.fields).is_none()
+    /// Stores a record if it is valid and later than the stored one, and returns whether it did. Records may
+    /// arrive in any order.
+    pub(crate) fn insert_if_newer(&mut self, record: InfoRecord) -> bool {
+        if record.fields.len() > MAX_INFO_BYTES
+            || !crate::identity::is_name(&record.name)
+            || Said::read(&record.fields).is_none()
         {
-            self.bad += 1;
+            self.rejected += 1;
             return false;
         }
-        let news = match self.words.get(&word.name) {
-            Some(last) => word.order() > last.order(),
-            None => self.words.len() < self.most,
+        let newer = match self.records.get(&record.name) {
+            Some(last) => record.full_version() > last.full_version(),
+            None => self.records.len() < self.capacity,
         };
-        if news {
-            self.words.insert(word.name.clone(), word);
+        if newer {
+            self.records.insert(record.name.clone(), record);
             self.changes += 1;
         }
-        news
+        newer
     }
 
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
-        self.words.len()
+        self.records.len()
     }
 
     pub(crate) fn forget(&mut self, name: &str) {
-        if self.words.remove(name).is_some() {
+        if self.records.remove(name).is_some() {
             self.changes += 1;
         }
     }
--- a/crates/fleet/src/word/tests.rs
+++ b/crates/fleet/src/word/tests.rs
@@ -1,31 +1,31 @@
 use super::*;
 
 #[test]
-fn a_newer_nodes_fields_are_kept_and_bad_words_are_not() {
+fn unknown_fields_are_kept_and_invalid_records_rejected() {
     let said = Said { zone: "a".into(), ready: Ready::Serving, room: 7, ..Said::default() };
     let mut fields = said.fields();
     fields.extend_from_slice(&[200, 3, 1, 2, 3]);
     assert_eq!(Said::read(&fields), Some(said));
-    let word = |incarnation, version, fields: &[u8]| Word {
+    let record = |incarnation, version, fields: &[u8]| InfoRecord {
         name: "n".into(),
         incarnation,
         version,
         fields: fields.to_vec(),
     };
-    let mut words = Words::new(1);
-    assert!(words.take(word(5, 2, &fields)));
-    assert_eq!(words.get("n").unwrap().fields, fields);
-    assert!(!words.take(word(5, 2, &[])), "the same again is no news");
-    assert!(!words.take(word(4, 9, &[])), "an earlier coming");
-    assert!(words.take(word(6, 1, &[])));
-    assert!(!words.take(word(7, 1, &[1, 9, 0])), "cut short");
-    assert!(!words.take(word(7, 1, &[0; WORD_BYTES + 2])), "too long");
-    assert!(!words.take(Word { name: "m".into(), ..word(1, 1, &[]) }), "no room");
-    assert_eq!(words.bad, 2);
+    let mut info_table = InfoTable::new(1);
+    assert!(info_table.insert_if_newer(record(5, 2, &fields)));
+    assert_eq!(info_table.get("n").unwrap().fields, fields);
+    assert!(!info_table.insert_if_newer(record(5, 2, &[])), "the same version again");
+    assert!(!info_table.insert_if_newer(record(4, 9, &[])), "an earlier incarnation");
+    assert!(info_table.insert_if_newer(record(6, 1, &[])));
+    assert!(!info_table.insert_if_newer(record(7, 1, &[1, 9, 0])), "truncated");
+    assert!(!info_table.insert_if_newer(record(7, 1, &[0; MAX_INFO_BYTES + 2])), "too long");
+    assert!(!info_table.insert_if_newer(InfoRecord { name: "m".into(), ..record(1, 1, &[]) }), "table full");
+    assert_eq!(info_table.rejected, 2);
 }
 
 #[test]
-fn all_that_a_node_says_comes_back() {
+fn announced_fields_survive_a_round_trip() {
     let said = Said {
         zone: "athens-east".into(),
         clients: "127.0.0.1:5222".into(),
@@ -38,6 +38,6 @@
     };
     assert_eq!(Said::read(&said.fields()), Some(said.clone()));
     let long = Said { zone: "z".repeat(600), clients: "c".repeat(600), ..said };
-    assert!(long.fields().len() <= WORD_BYTES);
+    assert!(long.fields().len() <= MAX_INFO_BYTES);
     assert_eq!(Said::read(&long.fields()).unwrap().ready, Ready::Draining);
 }
