--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -4,7 +4,7 @@
 
 use crate::identity::{Id, Millis};
 use crate::wire::{Entry, Frame, ReportedState};
-use crate::{Due, Event, FORGET_DEAD_AFTER_MS, Fleet, MOST, Message, Order, Refused};
+use crate::{Action, Due, Event, FORGET_DEAD_AFTER_MS, Fleet, MAX_KNOWN_NODES, Message, Refused};
 use foca::{Member, State};
 use hopmoor_seal::Kind;
 use rand::RngExt;
@@ -110,7 +110,7 @@
         }
         let index = self.rng.random_range(0..candidates.len());
         if let Some(address) = candidates.get(index) {
-            self.actions.push_back(Order::Call(*address));
+            self.actions.push_back(Action::Call(*address));
         }
     }
 
@@ -158,10 +158,10 @@
         bytes: &[u8],
     ) -> Result<Option<Vec<u8>>, Refused> {
         self.detect_stall(now);
-        self.figures.bytes_in += bytes.len() as u64;
+        self.stats.bytes_in += bytes.len() as u64;
         let result = self.handle_frame(now, exchange, bytes);
         if result.is_err() {
-            self.figures.refused += 1;
+            self.stats.refused += 1;
             exchange.done = true;
         }
         result
@@ -176,7 +176,7 @@
         let plain = hopmoor_seal::open(&self.keys, Kind::Frame, bytes)?;
         match (Frame::read(&plain)?, exchange.challenge) {
             (Frame::Hello { digest, challenge, .. }, None) => {
-                self.figures.exchanges += 1;
+                self.stats.exchanges += 1;
                 if digest == self.digest() {
                     exchange.done = true;
                     return Ok(self.seal_frame(&Frame::Same { challenge }));
@@ -222,7 +222,7 @@
         let plain = frame.write()?;
         let nonce = self.nonce();
         let sealed = hopmoor_seal::seal(&self.keys, Kind::Frame, &plain, nonce)?;
-        self.figures.bytes_out += sealed.len() as u64;
+        self.stats.bytes_out += sealed.len() as u64;
         Some(sealed)
     }
 
@@ -259,7 +259,7 @@
     fn merge_entries(&mut self, now: Millis, entries: Vec<Entry>) {
         let mut updates = Vec::new();
         let mut dead = Vec::new();
-        let mut free_slots = MOST.saturating_sub(self.foca.iter_membership_state().len());
+        let mut free_slots = MAX_KNOWN_NODES.saturating_sub(self.foca.iter_membership_state().len());
         for Entry { id, refutations, state, dead_ms, record } in entries {
             let left = record
                 .as_ref()
--- a/crates/fleet/src/hearsay.rs
+++ b/crates/fleet/src/gossip_filter.rs
@@ -2,7 +2,7 @@
 //! while the view is full, and turns doubtful deaths into suspicions.
 
 use crate::identity::{Id, Millis};
-use crate::{Event, Fleet, MOST};
+use crate::{Event, Fleet, MAX_KNOWN_NODES};
 use foca::{Member, State};
 
 /// A sender known for less than this is not believed when it reports a death; the node is only suspected. The
@@ -18,7 +18,7 @@
     /// is.
     pub(crate) fn filter_gossip(&mut self, now: Millis, data: &[u8]) -> Option<Vec<u8>> {
         let (header, rest): (foca::Header<Id>, _) = postcard::take_from_bytes(data).ok()?;
-        let full = self.foca.iter_membership_state().len() >= MOST;
+        let full = self.foca.iter_membership_state().len() >= MAX_KNOWN_NODES;
         if full {
             if !std::mem::replace(&mut self.full_reported, true) {
                 self.events.push_back(Event::Full);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,12 +3,12 @@
 //! what it asks for: datagrams to send, exchanges to start and timers.
 //!
 //! - [`identity`]: names, addresses and incarnations of nodes.
-//! - [`word`]: what a node announces about itself, and the table of the latest announcement of each node.
+//! - [`node_info`]: what a node announces about itself, and the table of the latest announcement of each node.
 //! - `wire`: the encoding of datagrams and frames. `replay`: drops replayed datagrams.
 //! - `health`: how far a node trusts its own observations (Lifeguard). `timers`: the timer queue, which
 //!   pauses while the process is stalled.
-//! - `coming`: rejoining after being declared dead, and two processes of the same name.
-//! - `hearsay`: which membership updates in a datagram are applied.
+//! - `rejoin`: rejoining after being declared dead, and two processes of the same name.
+//! - `gossip_filter`: which membership updates in a datagram are applied.
 //! - `exchange`: anti-entropy exchanges, which reconcile two views that differ.
 //! - `sharing`: how many nodes share the pool.
 //! - `view`: the view as operators and the node read it, and its digest.
@@ -17,11 +17,12 @@
 //! by a second or two, and no guarantee may rest on it. `docs/fleet-view.md` describes the design, the wire
 //! format and measurements.
 
-mod coming;
 mod exchange;
+mod gossip_filter;
 mod health;
-mod hearsay;
 pub mod identity;
+pub mod node_info;
+mod rejoin;
 mod replay;
 mod sharing;
 #[cfg(test)]
@@ -29,17 +30,17 @@
 mod timers;
 mod view;
 mod wire;
-pub mod word;
 
 pub use exchange::Exchange;
 pub use identity::{Id, Millis, Name};
-pub use view::{Figures, Seen, State, View};
-pub use wire::{DATAGRAM, FRAME};
-pub use word::{Ready, Said};
+pub use node_info::{NodeInfo, Readiness};
+pub use view::{NodeView, State, Stats, View};
+pub use wire::{MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 
 use foca::{BroadcastHandler, Foca, Invalidates, Notification, PostcardCodec, Timer};
 use health::{Health, STALL_MS};
 use hopmoor_seal::{Keys, Kind, NONCE_BYTES, Unsealed};
+use node_info::{InfoRecord, InfoTable};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use replay::Window;
@@ -51,10 +52,9 @@
 use std::time::Duration;
 use timers::Timers;
 use wire::{DecodeError, Message};
-use word::{InfoRecord, InfoTable};
 
 /// Most nodes in the view, dead ones included. Guards against a node that holds the key and invents names.
-pub const MOST: usize = 4_096;
+pub const MAX_KNOWN_NODES: usize = 4_096;
 /// Period of probes; `docs/fleet-view.md` derives it in its table of times.
 const PROBE_PERIOD_MS: u64 = 200;
 /// A probe that is not acknowledged within this time is repeated through other nodes.
@@ -104,13 +104,13 @@
     /// A node was declared dead, or has left.
     Down(Id, State),
     /// A node rejoined under a new incarnation.
-    Again(Id),
+    NewIncarnation(Id),
     /// Others declared this node dead; it has rejoined under a new incarnation.
-    Returned(Id),
+    Rejoined(Id),
     /// A later process has this node's name; this node yields the name to it.
-    SteppedBack(Id),
+    NameTaken(Id),
     /// The later process is dead; this node has its name back.
-    Resumed(Id),
+    NameRegained(Id),
     /// The process was stalled for this many milliseconds; the timers of the view were put off by as much.
     Stalled(Millis),
     /// The view is full: updates about new nodes are dropped. Reported once.
@@ -119,7 +119,7 @@
 
 /// Something that the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Action {
     /// Send this datagram to this address.
     Send(SocketAddr, Vec<u8>),
     /// Start an exchange with this address: connect, then send the frame that [`Fleet::call`] returns.
@@ -222,18 +222,18 @@
     sequence: u64,
     /// Counts this node's own info records within its incarnation.
     info_version: u32,
-    said: Said,
+    info: NodeInfo,
     peers: HashMap<Name, Peer>,
     /// When each dead node was declared dead.
     dead_since: HashMap<Name, Millis>,
     health: Health,
-    rejoin_state: coming::RejoinState,
+    rejoin_state: rejoin::RejoinState,
     settling: exchange::Settling,
     digest: RefCell<view::CachedDigest>,
-    actions: VecDeque<Order>,
+    actions: VecDeque<Action>,
     events: VecDeque<Event>,
     user_messages: VecDeque<(Name, Vec<u8>)>,
-    figures: Figures,
+    stats: Stats,
     /// Counts membership changes, to invalidate caches.
     changes: u64,
     full_reported: bool,
@@ -275,11 +275,11 @@
 }
 
 impl Fleet {
-    /// Creates a node that knows no other node yet and announces `said` about itself.
-    pub fn new(now: Millis, setup: Setup, said: Said) -> Fleet {
+    /// Creates a node that knows no other node yet and announces `info` about itself.
+    pub fn new(now: Millis, setup: Setup, info: NodeInfo) -> Fleet {
         let Setup { id, seeds, keys, seed } = setup;
         let mut rng = StdRng::from_seed(seed);
-        let info_table = Rc::new(RefCell::new(InfoTable::new(MOST)));
+        let info_table = Rc::new(RefCell::new(InfoTable::new(MAX_KNOWN_NODES)));
         let foca = new_foca(&id, &mut rng, &info_table);
         let mut timers = Timers::new();
         timers.set(now, Due::Seed);
@@ -293,22 +293,22 @@
             seeds,
             sequence: 0,
             info_version: 0,
-            said: Said::default(),
+            info: NodeInfo::default(),
             peers: HashMap::new(),
             dead_since: HashMap::new(),
             health: Health::default(),
-            rejoin_state: coming::RejoinState::default(),
+            rejoin_state: rejoin::RejoinState::default(),
             settling: exchange::Settling::new(now),
             digest: RefCell::default(),
             actions: VecDeque::new(),
             events: VecDeque::new(),
             user_messages: VecDeque::new(),
-            figures: Figures::default(),
+            stats: Stats::default(),
             changes: 0,
             full_reported: false,
             leaving: false,
         };
-        fleet.say(said);
+        fleet.set_info(info);
         fleet.schedule_exchange(now);
         fleet
     }
@@ -324,12 +324,12 @@
         self.keys = keys;
     }
 
-    /// Announces `said` about this node. Does nothing if only its uptime differs from the last announcement.
-    pub fn say(&mut self, said: Said) {
-        if self.info_version > 0 && self.said == (Said { up_ms: self.said.up_ms, ..said.clone() }) {
+    /// Announces `info` about this node. Does nothing if only its uptime differs from the last announcement.
+    pub fn set_info(&mut self, info: NodeInfo) {
+        if self.info_version > 0 && self.info == (NodeInfo { up_ms: self.info.up_ms, ..info.clone() }) {
             return;
         }
-        self.said = said;
+        self.info = info;
         self.broadcast_info();
     }
 
@@ -340,7 +340,7 @@
             name: self.id.name.clone(),
             incarnation: self.id.incarnation,
             version: self.info_version,
-            fields: self.said.fields(),
+            fields: self.info.fields(),
         };
         if let Ok(bytes) = postcard::to_stdvec(&record) {
             // Only an empty or oversized record is an error; `fields()` prevents both.
@@ -355,7 +355,7 @@
         if std::mem::replace(&mut self.leaving, true) || self.rejoin_state.is_superseded() {
             return;
         }
-        self.said.ready = Ready::Left;
+        self.info.ready = Readiness::Left;
         self.broadcast_info();
         let mut output = FocaOutput::default();
         // Each round goes to three nodes: enough for the announcement to survive some loss.
@@ -373,14 +373,14 @@
     }
 
     /// Takes the next action that the caller has to carry out.
-    pub fn order(&mut self) -> Option<Order> {
+    pub fn action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
     /// Queues a user message for the node `to`, whatever its state in the view. It is sealed and protected
     /// against replay like all datagrams, but may be lost, duplicated or reordered. Returns false if the node
     /// is unknown or the message exceeds [`MAX_USER_MESSAGE_BYTES`].
-    pub fn send_beside(&mut self, to: &str, bytes: &[u8]) -> bool {
+    pub fn send_user_message(&mut self, to: &str, bytes: &[u8]) -> bool {
         let to = self.foca.iter_membership_state().find(|member| *member.id().name == *to);
         let Some(address) = to.map(|member| member.id().address) else { return false };
         if bytes.len() > MAX_USER_MESSAGE_BYTES {
@@ -392,12 +392,12 @@
     }
 
     /// Whether received user messages wait to be taken.
-    pub fn has_beside(&self) -> bool {
+    pub fn has_user_message(&self) -> bool {
         !self.user_messages.is_empty()
     }
 
     /// Takes the next received user message, with the name of its sender.
-    pub fn beside(&mut self) -> Option<(Name, Vec<u8>)> {
+    pub fn next_user_message(&mut self) -> Option<(Name, Vec<u8>)> {
         self.user_messages.pop_front()
     }
 
@@ -430,8 +430,8 @@
         if late_ms > STALL_MS {
             self.timers.shift(late_ms);
             self.health.worsen();
-            self.figures.stalls += 1;
-            if late_ms >= coming::MIN_LOGGED_STALL_MS {
+            self.stats.stalls += 1;
+            if late_ms >= rejoin::MIN_LOGGED_STALL_MS {
                 self.events.push_back(Event::Stalled(late_ms));
             }
         }
@@ -501,19 +501,20 @@
         }
         for id in output.down {
             self.dead_since.insert(id.name.clone(), now);
-            let left = self.info_table.borrow().get_for(&id).and_then(|record| Said::read(&record.fields));
-            let left = left.is_some_and(|said| said.ready == Ready::Left);
+            let left =
+                self.info_table.borrow().get_for(&id).and_then(|record| NodeInfo::read(&record.fields));
+            let left = left.is_some_and(|info| info.ready == Readiness::Left);
             self.events.push_back(Event::Down(id, if left { State::Left } else { State::Dead }));
         }
         for id in output.renamed {
             if self.lookup(&id).is_some_and(|(_, _, state)| state != foca::State::Down) {
                 self.dead_since.remove(&id.name);
-                self.events.push_back(Event::Again(id));
+                self.events.push_back(Event::NewIncarnation(id));
             }
         }
         if changed {
             self.changes += 1;
-            self.figures.view_changes += 1;
+            self.stats.view_changes += 1;
             self.mark_unsettled(now);
         }
         if output.defunct {
@@ -535,7 +536,7 @@
                 if id == about && current_refutations > refutations =>
             {
                 // Refuted: the suspicion was false.
-                self.figures.false_alarms += 1;
+                self.stats.false_alarms += 1;
                 self.health.worsen();
             }
             Some((id, _, foca::State::Suspect)) if id == about && now < until => {
@@ -559,9 +560,9 @@
         let Some(plain) = wire::datagram(self.sequence, message) else { return };
         let nonce = self.nonce();
         if let Some(sealed) = hopmoor_seal::seal(&self.keys, Kind::Datagram, &plain, nonce) {
-            self.figures.datagrams_out += 1;
-            self.figures.bytes_out += sealed.len() as u64;
-            self.actions.push_back(Order::Send(to, sealed));
+            self.stats.datagrams_out += 1;
+            self.stats.bytes_out += sealed.len() as u64;
+            self.actions.push_back(Action::Send(to, sealed));
         }
     }
 
@@ -572,17 +573,17 @@
     /// Why the datagram was refused, for the log.
     pub fn datagram(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
         self.detect_stall(now);
-        self.figures.datagrams_in += 1;
-        self.figures.bytes_in += bytes.len() as u64;
+        self.stats.datagrams_in += 1;
+        self.stats.bytes_in += bytes.len() as u64;
         let result = self.handle_datagram(now, bytes);
         if result.is_err() {
-            self.figures.refused += 1;
+            self.stats.refused += 1;
         }
         result
     }
 
     fn handle_datagram(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
-        if bytes.len() > DATAGRAM {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Refused::Malformed);
         }
         let plain = hopmoor_seal::open(&self.keys, Kind::Datagram, bytes)?;
@@ -643,7 +644,7 @@
 
     /// Records that a peer was heard from, and refuses a datagram that was received before.
     fn note_sender(&mut self, now: Millis, id: &Id, sequence: u64) -> Result<(), Refused> {
-        if self.peers.len() >= MOST && !self.peers.contains_key(&id.name) {
+        if self.peers.len() >= MAX_KNOWN_NODES && !self.peers.contains_key(&id.name) {
             return Err(Refused::Full);
         }
         let peer = self.peers.entry(id.name.clone()).or_default();
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/node_info.rs
@@ -15,7 +15,7 @@
 /// Whether a node takes clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-pub enum Ready {
+pub enum Readiness {
     /// It does not serve, because it is starting or can't.
     #[default]
     NotReady = 0,
@@ -29,33 +29,33 @@
     Left = 4,
 }
 
-impl Ready {
-    fn from(byte: u8) -> Ready {
+impl Readiness {
+    fn from(byte: u8) -> Readiness {
         match byte {
-            1 => Ready::Serving,
-            2 => Ready::Draining,
-            3 => Ready::Ending,
-            4 => Ready::Left,
+            1 => Readiness::Serving,
+            2 => Readiness::Draining,
+            3 => Readiness::Ending,
+            4 => Readiness::Left,
             // A state that only newer versions know does not count as serving.
-            _ => Ready::NotReady,
+            _ => Readiness::NotReady,
         }
     }
 
     /// The state as shown to operators.
     pub fn text(self) -> &'static str {
         match self {
-            Ready::NotReady => "not ready",
-            Ready::Serving => "serving",
-            Ready::Draining => "draining",
-            Ready::Ending => "ending",
-            Ready::Left => "left",
+            Readiness::NotReady => "not ready",
+            Readiness::Serving => "serving",
+            Readiness::Draining => "draining",
+            Readiness::Ending => "ending",
+            Readiness::Left => "left",
         }
     }
 }
 
 /// What a node announces about itself, as far as this version can read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Said {
+pub struct NodeInfo {
     /// Its zone.
     pub zone: String,
     /// The address for clients.
@@ -63,7 +63,7 @@
     /// The address for operators; empty if there is none.
     pub admin: String,
     /// Whether it takes clients.
-    pub ready: Ready,
+    pub ready: Readiness,
     /// Digest of its executable.
     pub program: Vec<u8>,
     /// Digest of its configuration.
@@ -86,7 +86,7 @@
     pub const ROOM: u8 = 8;
 }
 
-impl Said {
+impl NodeInfo {
     /// Encodes the fields as `tag u8 | length u8 | bytes`. A value is cut to 255 bytes; fields that would
     /// exceed [`MAX_INFO_BYTES`] in all are left out.
     pub fn fields(&self) -> Vec<u8> {
@@ -111,25 +111,25 @@
     }
 
     /// Decodes fields and skips unknown ones; `None` if a length or a value is malformed.
-    pub fn read(mut fields: &[u8]) -> Option<Said> {
-        let mut said = Said::default();
+    pub fn read(mut fields: &[u8]) -> Option<NodeInfo> {
+        let mut info = NodeInfo::default();
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         while let Some((&[tag, length], rest)) = fields.split_first_chunk::<2>() {
             let (bytes, rest) = rest.split_at_checked(usize::from(length))?;
             fields = rest;
             match tag {
-                tag::ZONE => said.zone = text(bytes),
-                tag::CLIENTS => said.clients = text(bytes),
-                tag::ADMIN => said.admin = text(bytes),
-                tag::READY => said.ready = Ready::from(*bytes.first()?),
-                tag::PROGRAM => said.program = bytes.to_vec(),
-                tag::CONFIG => said.config = bytes.to_vec(),
-                tag::UP_MS => said.up_ms = u64::from_le_bytes(bytes.try_into().ok()?),
-                tag::ROOM => said.room = u32::from_le_bytes(bytes.try_into().ok()?),
+                tag::ZONE => info.zone = text(bytes),
+                tag::CLIENTS => info.clients = text(bytes),
+                tag::ADMIN => info.admin = text(bytes),
+                tag::READY => info.ready = Readiness::from(*bytes.first()?),
+                tag::PROGRAM => info.program = bytes.to_vec(),
+                tag::CONFIG => info.config = bytes.to_vec(),
+                tag::UP_MS => info.up_ms = u64::from_le_bytes(bytes.try_into().ok()?),
+                tag::ROOM => info.room = u32::from_le_bytes(bytes.try_into().ok()?),
                 _ => {}
             }
         }
-        fields.is_empty().then_some(said)
+        fields.is_empty().then_some(info)
     }
 }
 
@@ -160,7 +160,7 @@
     pub incarnation: u64,
     /// Counts the versions within the incarnation.
     pub version: u32,
-    /// The encoded fields; see [`Said::fields`].
+    /// The encoded fields; see [`NodeInfo::fields`].
     pub fields: Vec<u8>,
 }
 
@@ -171,7 +171,7 @@
 
     /// Whether the node announces its leave.
     pub(crate) fn has_left(&self) -> bool {
-        Said::read(&self.fields).is_some_and(|said| said.ready == Ready::Left)
+        NodeInfo::read(&self.fields).is_some_and(|info| info.ready == Readiness::Left)
     }
 }
 
@@ -204,7 +204,7 @@
     pub(crate) fn insert_if_newer(&mut self, record: InfoRecord) -> bool {
         if record.fields.len() > MAX_INFO_BYTES
             || !crate::identity::is_name(&record.name)
-            || Said::read(&record.fields).is_none()
+            || NodeInfo::read(&record.fields).is_none()
         {
             self.rejected += 1;
             return false;
--- a/crates/fleet/src/word/tests.rs
+++ b/crates/fleet/src/node_info/tests.rs
@@ -2,10 +2,10 @@
 
 #[test]
 fn unknown_fields_are_kept_and_invalid_records_rejected() {
-    let said = Said { zone: "a".into(), ready: Ready::Serving, room: 7, ..Said::default() };
-    let mut fields = said.fields();
+    let info = NodeInfo { zone: "a".into(), ready: Readiness::Serving, room: 7, ..NodeInfo::default() };
+    let mut fields = info.fields();
     fields.extend_from_slice(&[200, 3, 1, 2, 3]);
-    assert_eq!(Said::read(&fields), Some(said));
+    assert_eq!(NodeInfo::read(&fields), Some(info));
     let record = |incarnation, version, fields: &[u8]| InfoRecord {
         name: "n".into(),
         incarnation,
@@ -26,18 +26,18 @@
 
 #[test]
 fn announced_fields_survive_a_round_trip() {
-    let said = Said {
+    let info = NodeInfo {
         zone: "athens-east".into(),
         clients: "127.0.0.1:5222".into(),
         admin: "127.0.0.1:5223".into(),
-        ready: Ready::Draining,
+        ready: Readiness::Draining,
         program: vec![7; DIGEST_BYTES],
         config: vec![8; DIGEST_BYTES],
         up_ms: 1 << 40,
         room: 12,
     };
-    assert_eq!(Said::read(&said.fields()), Some(said.clone()));
-    let long = Said { zone: "z".repeat(600), clients: "c".repeat(600), ..said };
+    assert_eq!(NodeInfo::read(&info.fields()), Some(info.clone()));
+    let long = NodeInfo { zone: "z".repeat(600), clients: "c".repeat(600), ..info };
     assert!(long.fields().len() <= MAX_INFO_BYTES);
-    assert_eq!(Said::read(&long.fields()).unwrap().ready, Ready::Draining);
+    assert_eq!(NodeInfo::read(&long.fields()).unwrap().ready, Readiness::Draining);
 }
--- a/crates/fleet/src/coming.rs
+++ b/crates/fleet/src/rejoin.rs
@@ -68,7 +68,7 @@
             return;
         }
         self.restart_as(now, self.id.incarnation + 1);
-        self.events.push_back(Event::Returned(self.id.clone()));
+        self.events.push_back(Event::Rejoined(self.id.clone()));
     }
 
     /// Starts over under `incarnation` with the members known so far, but without the gossip still queued.
@@ -148,13 +148,13 @@
             let was_superseded = self.rejoin_state.superseded_by.take().is_some();
             self.restart_as(now, by.incarnation + 1);
             if was_superseded {
-                self.events.push_back(Event::Resumed(self.id.clone()));
+                self.events.push_back(Event::NameRegained(self.id.clone()));
             }
             return;
         }
         if !self.rejoin_state.is_superseded() {
             self.stop_probing(now);
-            self.events.push_back(Event::SteppedBack(by.clone()));
+            self.events.push_back(Event::NameTaken(by.clone()));
             self.timers.set(now + CHECK_SUPERSEDER_MS, Due::CheckSuperseder);
         }
         self.rejoin_state.superseded_by = Some(by);
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -14,7 +14,7 @@
 
 fn node(name: &str, port: u16) -> Fleet {
     let setup = Setup { id: id(name, port), seeds: vec![], keys: keys(), seed: [port as u8; 32] };
-    Fleet::new(1_000, setup, Said { ready: Ready::Serving, ..Said::default() })
+    Fleet::new(1_000, setup, NodeInfo { ready: Readiness::Serving, ..NodeInfo::default() })
 }
 
 fn seal_frame(frame: &Frame) -> Vec<u8> {
@@ -43,8 +43,8 @@
     answer_exchange(&mut fleet, (0..10_000).map(invented_entry).collect()).unwrap();
     answer_exchange(&mut fleet, (10_000..20_000).map(invented_entry).collect()).unwrap();
     let view = fleet.view(2_000);
-    assert_eq!(view.members.len(), MOST + 1);
-    assert!(fleet.info_table.borrow().len() <= MOST);
+    assert_eq!(view.members.len(), MAX_KNOWN_NODES + 1);
+    assert!(fleet.info_table.borrow().len() <= MAX_KNOWN_NODES);
     let full_events = std::iter::from_fn(|| fleet.event()).filter(|event| *event == Event::Full).count();
     assert_eq!(full_events, 1);
     // With a full view, a datagram from an unknown node that reports further unknown nodes changes nothing.
@@ -57,12 +57,12 @@
     );
     let _ = stranger.foca.announce(fleet.id.clone(), &mut output);
     stranger.apply_output(1_000, output);
-    while let Some(order) = stranger.order() {
-        if let Order::Send(_, bytes) = order {
+    while let Some(action) = stranger.action() {
+        if let Action::Send(_, bytes) = action {
             let _ = fleet.datagram(2_100, &bytes);
         }
     }
-    assert_eq!(fleet.view(2_100).members.len(), MOST + 1);
+    assert_eq!(fleet.view(2_100).members.len(), MAX_KNOWN_NODES + 1);
 }
 
 #[test]
@@ -74,14 +74,14 @@
     let newer = hopmoor_seal::seal(&keys(), Kind::Datagram, &plain, [1; NONCE_BYTES]).unwrap();
     assert_eq!(fleet.datagram(1_100, &newer), Err(Refused::UnknownType));
     assert_eq!(fleet.datagram(1_100, &newer[..20]), Err(Refused::Malformed));
-    assert_eq!(fleet.datagram(1_100, &[0; DATAGRAM + 1]), Err(Refused::Malformed));
+    assert_eq!(fleet.datagram(1_100, &[0; MAX_DATAGRAM_BYTES + 1]), Err(Refused::Malformed));
     let mut forged = newer.clone();
     forged[30] ^= 1;
     assert_eq!(fleet.datagram(1_100, &forged), Err(Refused::Forged));
     let other =
         hopmoor_seal::seal(&Keys::new(2, [7; KEY_BYTES]), Kind::Datagram, &plain, [1; NONCE_BYTES]).unwrap();
     assert_eq!(fleet.datagram(1_100, &other), Err(Refused::UnknownKey));
-    assert_eq!(fleet.figures().refused, 5);
+    assert_eq!(fleet.stats().refused, 5);
     assert_eq!(fleet.digest(), digest);
 }
 
@@ -90,10 +90,10 @@
     let (mut a, mut b) = (node("a", 1), node("b", 2));
     a.apply_members(1_000, vec![foca::Member::alive(b.id.clone())], true);
     (1_000..1_300).for_each(|now| a.tick(now));
-    let sent: Vec<Vec<u8>> = std::iter::from_fn(|| a.order())
-        .filter_map(|order| match order {
-            Order::Send(_, bytes) => Some(bytes),
-            Order::Call(_) => None,
+    let sent: Vec<Vec<u8>> = std::iter::from_fn(|| a.action())
+        .filter_map(|action| match action {
+            Action::Send(_, bytes) => Some(bytes),
+            Action::Call(_) => None,
         })
         .collect();
     assert!(!sent.is_empty());
@@ -133,7 +133,7 @@
     let passed = entries.iter().find(|entry| &*entry.id.name == "made-up-1").unwrap();
     assert_eq!(passed.record.as_ref().unwrap().fields, fields);
     let seen = fleet.view(2_100).members.into_iter().find(|seen| &*seen.id.name == "made-up-1").unwrap();
-    assert_eq!(seen.said.unwrap().ready, Ready::Serving);
+    assert_eq!(seen.info.unwrap().ready, Readiness::Serving);
 }
 
 /// Makes `reporter` tell `to` that `of` is dead, and returns the state in which `to` then holds it.
@@ -143,8 +143,8 @@
     let mut output = FocaOutput::default();
     let _ = reporter.foca.gossip(&mut output);
     reporter.apply_output(now, output);
-    while let Some(order) = reporter.order() {
-        if let Order::Send(_, bytes) = order {
+    while let Some(action) = reporter.action() {
+        if let Action::Send(_, bytes) = action {
             let _ = to.datagram(now, &bytes);
         }
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,8 +1,8 @@
 //! The view as operators and the node read it, and its digest.
 
 use crate::identity::{Id, Millis};
-use crate::word::{InfoRecord, Said};
-use crate::{Fleet, Ready};
+use crate::node_info::{InfoRecord, NodeInfo};
+use crate::{Fleet, Readiness};
 use sha2::{Digest, Sha256};
 
 /// The state of a node in a view.
@@ -30,20 +30,20 @@
     }
 
     /// Whether the node counts as up: alive, or only suspected.
-    pub fn is_there(self) -> bool {
+    pub fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
 /// One node as another sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct NodeView {
     /// Its identity.
     pub id: Id,
     /// Its state.
     pub state: State,
     /// What it announces about itself, if its record has arrived.
-    pub said: Option<Said>,
+    pub info: Option<NodeInfo>,
     /// How long ago it was last heard from directly; `None` if never.
     pub heard_ms: Option<Millis>,
 }
@@ -56,7 +56,7 @@
     /// The digest of the view; see [`Fleet::digest`].
     pub digest: [u8; 32],
     /// The health score: 0 if the node trusts its own observations fully.
-    pub doubts: u32,
+    pub health_score: u32,
     /// Whether the view has been stable for a while; see [`Fleet::is_settled`].
     pub settled: bool,
     /// The number of nodes that share the pool, if known.
@@ -64,12 +64,12 @@
     /// The later process of this name that the node has yielded to.
     pub superseded_by: Option<Id>,
     /// All nodes by name, this one included.
-    pub members: Vec<Seen>,
+    pub members: Vec<NodeView>,
 }
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Datagrams received.
     pub datagrams_in: u64,
     /// Datagrams sent.
@@ -138,10 +138,10 @@
     pub fn view(&self, now: Millis) -> View {
         let info_table = self.info_table.borrow();
         let seen = |id: &Id, state: State, heard_ms: Option<Millis>| {
-            let said = info_table.get_for(id).and_then(|record| Said::read(&record.fields));
-            let left = said.as_ref().is_some_and(|said| said.ready == Ready::Left);
+            let info = info_table.get_for(id).and_then(|record| NodeInfo::read(&record.fields));
+            let left = info.as_ref().is_some_and(|info| info.ready == Readiness::Left);
             let state = if state == State::Dead && left { State::Left } else { state };
-            Seen { id: id.clone(), state, said, heard_ms }
+            NodeView { id: id.clone(), state, info, heard_ms }
         };
         let mut members = vec![seen(&self.id, State::Alive, Some(0))];
         for member in self.foca.iter_membership_state() {
@@ -158,7 +158,7 @@
         View {
             id: self.id.clone(),
             digest: self.digest(),
-            doubts: self.health.doubts(),
+            health_score: self.health.health_score(),
             settled: self.is_settled(now),
             sharing: self.sharing(now),
             superseded_by: self.superseded_by().cloned(),
@@ -167,8 +167,8 @@
     }
 
     /// The counters since the start.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn stats(&self) -> Stats {
+        self.stats
     }
 
     /// The numbers of alive, suspected, and dead or left nodes. This node counts as alive.
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -2,15 +2,15 @@
 //! unknown message type is told apart from malformed bytes, since newer versions may send it.
 
 use crate::identity::{Id, Millis};
-use crate::word::InfoRecord;
+use crate::node_info::InfoRecord;
 use serde::{Deserialize, Serialize};
 
 /// Most bytes of a datagram: below the smallest MTU of usual links.
-pub const DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// Most bytes of a frame: 4,096 nodes with the longest names and info records, some 700 bytes each.
-pub const FRAME: usize = 3 << 20;
+pub const MAX_FRAME_BYTES: usize = 3 << 20;
 /// Most bytes of `foca`'s part of a datagram: what the seal, the sequence number and the message type leave.
-pub(crate) const MAX_GOSSIP_BYTES: usize = DATAGRAM - hopmoor_seal::OVERHEAD - 11;
+pub(crate) const MAX_GOSSIP_BYTES: usize = MAX_DATAGRAM_BYTES - hopmoor_seal::OVERHEAD - 11;
 
 /// A datagram's message: one of `foca`'s, or one of the messages added here.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -100,13 +100,13 @@
 
 fn answer(node: &Rc<Node>, ask: Ask, classes: &[String]) -> Vec<u8> {
     match ask {
-        Ask::Ready => match node.broker.borrow().standing_by() {
+        Ask::Ready => match node.broker.borrow().readiness() {
             Ok(()) => admin::answer(200, "", "ready\n"),
             Err(why) => admin::answer(503, "", &format!("not ready: {why}\n")),
         },
         Ask::Metrics => {
-            let figures = node.broker.borrow().figures(node.clock.now());
-            let mut text = admin::metrics(classes, &figures);
+            let stats = node.broker.borrow().stats(node.clock.now());
+            let mut text = admin::metrics(classes, &stats);
             if let Some(link) = &*node.fleet.borrow() {
                 text += &link.metrics();
             }
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -4,9 +4,9 @@
 use super::Node;
 use super::fleet::Link;
 use crate::admin;
-use crate::agreed;
 use crate::broker::Unready;
 use crate::config;
+use crate::membership;
 use hopmoor_agree::voter::TICK_MS;
 use hopmoor_agree::{Entry, Most, Note, Order, Part, Scope};
 use hopmoor_vote::Folder;
@@ -52,7 +52,7 @@
 
     /// An operator wants the node drained: it asks, and drains once it is granted.
     pub(super) fn drain(&self, node: &Rc<Node>) -> Vec<u8> {
-        let standing = node.broker.borrow().standing_by();
+        let standing = node.broker.borrow().readiness();
         if standing == Err(Unready::Ending) {
             return admin::answer(409, "", "the node ends\n");
         }
@@ -115,7 +115,7 @@
         };
         let now = node.clock.now() as u64;
         part.borrow_mut().due(now, link.id().incarnation);
-        while let Some((from, bytes)) = link.beside() {
+        while let Some((from, bytes)) = link.next_user_message() {
             part.borrow_mut().message(&from, &bytes);
         }
         if ticked {
@@ -123,8 +123,8 @@
         }
         if now >= looks && part.borrow().wants_view() {
             looks = now + LOOK_MS;
-            let seen = agreed::seen(&link.view(&node));
-            part.borrow_mut().sees(&seen);
+            let seen_nodes = membership::seen_nodes(&link.view(&node));
+            part.borrow_mut().sees(&seen_nodes);
         }
         carry_out(&node, &link, &agree, folder.as_ref()).await;
         tell(&node, &agree);
@@ -158,7 +158,7 @@
     loop {
         let Some(order) = part.borrow_mut().order() else { break };
         match (order, folder) {
-            (Order::Send(to, bytes), _) => link.send_beside(&to, &bytes),
+            (Order::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
             (Order::Drain(permit), _) => {
                 let done = node.with(|broker, now| broker.drain(now));
                 // Said at once: a later coming that is believed to serve would end the permit.
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -7,7 +7,8 @@
 use crate::config;
 use crate::operator;
 use hopmoor_fleet::{
-    Event, Exchange, FRAME, Fleet, Id, Name, Order, Ready, Refused, Said, Setup, State, View, word,
+    Action, Event, Exchange, Fleet, Id, MAX_FRAME_BYTES, Name, NodeInfo, Readiness, Refused, Setup, State,
+    View, node_info,
 };
 use hopmoor_record::NeighbourState;
 use slog::{info, warn};
@@ -43,7 +44,7 @@
 /// Ports tried for one that is free for datagrams and connections both, where the system picks.
 const TRIES: usize = 16;
 /// The largest datagram, and one byte to tell what is longer.
-const BUFFER: usize = hopmoor_fleet::DATAGRAM + 1;
+const BUFFER: usize = hopmoor_fleet::MAX_DATAGRAM_BYTES + 1;
 
 /// Both sockets of the one port.
 pub(super) struct Ports {
@@ -56,7 +57,7 @@
     fleet: RefCell<Fleet>,
     /// The driver's: when that ends the port is free, whatever exchanges are still under way.
     udp: Weak<UdpSocket>,
-    said: RefCell<Said>,
+    own_info: RefCell<NodeInfo>,
     keys: PathBuf,
     files: Vec<PathBuf>,
     from: IpAddr,
@@ -84,17 +85,17 @@
     }
 
     /// Sends something that is not of the view; it goes out with the next orders that are carried out.
-    pub(super) fn send_beside(&self, to: &str, bytes: &[u8]) {
-        self.fleet.borrow_mut().send_beside(to, bytes);
+    pub(super) fn send_user_message(&self, to: &str, bytes: &[u8]) {
+        self.fleet.borrow_mut().send_user_message(to, bytes);
     }
 
-    pub(super) fn beside(&self) -> Option<(Name, Vec<u8>)> {
-        self.fleet.borrow_mut().beside()
+    pub(super) fn next_user_message(&self) -> Option<(Name, Vec<u8>)> {
+        self.fleet.borrow_mut().next_user_message()
     }
 
     pub(super) fn metrics(&self) -> String {
         let fleet = self.fleet.borrow();
-        admin::fleet_metrics(fleet.counts(), &fleet.figures())
+        admin::fleet_metrics(fleet.counts(), &fleet.stats())
     }
 }
 
@@ -126,26 +127,32 @@
     config: &config::Fleet,
     clients: &TcpListener,
     admin: Option<&TcpListener>,
-) -> io::Result<Said> {
+) -> io::Result<NodeInfo> {
     // One whose file can't be read any more has no digest, and says none.
     let program = std::env::current_exe().and_then(std::fs::read);
-    Ok(Said {
+    Ok(NodeInfo {
         zone: config.zone.clone(),
         clients: clients.local_addr()?.to_string(),
         admin: admin.map(TcpListener::local_addr).transpose()?.map_or_else(String::new, |at| at.to_string()),
-        program: program.map_or_else(|_| Vec::new(), |program| word::digest([program.as_slice()])),
+        program: program.map_or_else(|_| Vec::new(), |program| node_info::digest([program.as_slice()])),
         config: digest(&config.files).unwrap_or_default(),
-        ..Said::default()
+        ..NodeInfo::default()
     })
 }
 
 fn digest(files: &[PathBuf]) -> io::Result<Vec<u8>> {
     let read: Vec<Vec<u8>> = files.iter().map(std::fs::read).collect::<io::Result<_>>()?;
-    Ok(word::digest(read.iter().map(Vec::as_slice)))
+    Ok(node_info::digest(read.iter().map(Vec::as_slice)))
 }
 
 /// Begins to talk to the fleet, as soon as the port is this process's.
-pub(super) fn begin(node: &Rc<Node>, config: &config::Fleet, name: &str, ports: Option<Ports>, said: Said) {
+pub(super) fn begin(
+    node: &Rc<Node>,
+    config: &config::Fleet,
+    name: &str,
+    ports: Option<Ports>,
+    own_info: NodeInfo,
+) {
     let (node, config, name) = (node.clone(), config.clone(), name.to_owned());
     tokio::task::spawn_local(async move {
         let ports = match ports {
@@ -162,7 +169,7 @@
                 }
             }
         };
-        if let Err(error) = run(&node, &config, &name, ports, said).await {
+        if let Err(error) = run(&node, &config, &name, ports, own_info).await {
             warn!(node.log, "fleet off"; "error" => %error);
             node.fleet.borrow_mut().take();
         }
@@ -174,7 +181,7 @@
     config: &config::Fleet,
     name: &str,
     ports: Ports,
-    said: Said,
+    own_info: NodeInfo,
 ) -> io::Result<()> {
     let Ports { udp, tcp } = ports;
     let udp = Rc::new(udp);
@@ -190,9 +197,9 @@
     let agree = config.agree.as_ref().map(|config| agree::Agree::new(config, name, &node.log));
     let agree = agree.transpose()?.map(Rc::new);
     let link = Rc::new(Link {
-        fleet: RefCell::new(Fleet::new(now, setup, said.clone())),
+        fleet: RefCell::new(Fleet::new(now, setup, own_info.clone())),
         udp: Rc::downgrade(&udp),
-        said: RefCell::new(said),
+        own_info: RefCell::new(own_info),
         keys: config.keys.clone(),
         files: config.files.clone(),
         from: address.ip(),
@@ -241,9 +248,9 @@
             link.fleet.borrow_mut().tick(now);
         }
         match &link.agree {
-            Some(agree) if link.fleet.borrow().has_beside() => agree.wake(),
+            Some(agree) if link.fleet.borrow().has_user_message() => agree.wake(),
             Some(_) => {}
-            None => while link.beside().is_some() {},
+            None => while link.next_user_message().is_some() {},
         }
         // Clients come in their turn, however many datagrams wait.
         tokio::task::yield_now().await;
@@ -281,15 +288,15 @@
 
 pub(super) fn carry_out(node: &Rc<Node>, link: &Rc<Link>) {
     loop {
-        let order = link.fleet.borrow_mut().order();
-        match order {
+        let action = link.fleet.borrow_mut().action();
+        match action {
             // What the socket does not take at once is lost, as on any link.
-            Some(Order::Send(to, bytes)) => {
+            Some(Action::Send(to, bytes)) => {
                 if let Some(udp) = link.udp.upgrade() {
                     let _ = udp.try_send_to(&bytes, to);
                 }
             }
-            Some(Order::Call(to)) => call(node, link, to),
+            Some(Action::Call(to)) => call(node, link, to),
             None => break,
         }
     }
@@ -304,7 +311,7 @@
 
 fn tell(node: &Rc<Node>, event: Event) {
     let note = |id: &Id, state| {
-        node.broker.borrow_mut().neighbour(node.clock.now(), &id.name, state, id.incarnation);
+        node.broker.borrow_mut().peer_state_changed(node.clock.now(), &id.name, state, id.incarnation);
     };
     match event {
         Event::Up(id) => {
@@ -317,42 +324,42 @@
             info!(node.log, "fleet node down"; "name" => &*id.name, "as" => id.incarnation,
                 "state" => state.text());
         }
-        Event::Again(id) => {
+        Event::NewIncarnation(id) => {
             note(&id, NeighbourState::Alive);
             info!(node.log, "fleet node again"; "name" => &*id.name, "as" => id.incarnation,
                 "at" => %id.address);
         }
-        Event::Returned(id) => {
+        Event::Rejoined(id) => {
             warn!(node.log, "held dead by others, and back"; "as" => id.incarnation);
         }
-        Event::SteppedBack(id) => {
+        Event::NameTaken(id) => {
             warn!(node.log, "stepped back: a later process has this name"; "as" => id.incarnation,
                 "at" => %id.address);
             node.broker.borrow_mut().set_superseded(true);
         }
-        Event::Resumed(id) => {
+        Event::NameRegained(id) => {
             info!(node.log, "has its name again"; "as" => id.incarnation);
             node.broker.borrow_mut().set_superseded(false);
         }
         Event::Stalled(ms) => warn!(node.log, "stood still"; "ms" => ms),
-        Event::Full => warn!(node.log, "fleet view full"; "most" => hopmoor_fleet::MOST),
+        Event::Full => warn!(node.log, "fleet view full"; "most" => hopmoor_fleet::MAX_KNOWN_NODES),
     }
 }
 
 /// Says what has changed of this node.
 pub(super) fn speak(node: &Rc<Node>, link: &Link) {
-    let ready = match node.broker.borrow().standing_by() {
-        Ok(()) => Ready::Serving,
-        Err(Unready::Draining) => Ready::Draining,
-        Err(Unready::Ending) => Ready::Ending,
-        Err(Unready::NoList | Unready::NoMember | Unready::Superseded) => Ready::NotReady,
+    let ready = match node.broker.borrow().readiness() {
+        Ok(()) => Readiness::Serving,
+        Err(Unready::Draining) => Readiness::Draining,
+        Err(Unready::Ending) => Readiness::Ending,
+        Err(Unready::NoList | Unready::NoMember | Unready::Superseded) => Readiness::NotReady,
     };
     let (room, most) = node.descriptors.borrow().room();
-    let mut said = link.said.borrow_mut();
-    said.ready = ready;
-    said.up_ms = (node.clock.now() - node.clock.base) as u64;
-    said.room = word::room(said.room, room as u32, most as u32);
-    link.fleet.borrow_mut().say(said.clone());
+    let mut own_info = link.own_info.borrow_mut();
+    own_info.ready = ready;
+    own_info.up_ms = (node.clock.now() - node.clock.base) as u64;
+    own_info.room = node_info::room(own_info.room, room as u32, most as u32);
+    link.fleet.borrow_mut().set_info(own_info.clone());
     let sharing = link.fleet.borrow().sharing(node.clock.now() as u64);
     if let Some(nodes) = sharing.filter(|_| sharing != link.sharing.replace(sharing)) {
         info!(node.log, "nodes share the pool"; "nodes" => nodes);
@@ -371,7 +378,7 @@
         Err(error) => warn!(node.log, "fleet keys not taken"; "error" => %error),
     }
     match digest(&link.files) {
-        Ok(digest) => link.said.borrow_mut().config = digest,
+        Ok(digest) => link.own_info.borrow_mut().config = digest,
         Err(error) => warn!(node.log, "configuration has no digest"; "error" => %error),
     }
     speak(node, &link);
@@ -459,7 +466,7 @@
     let from = stream.peer_addr()?;
     while !on.is_done() {
         let length = stream.read_u32_le().await? as usize;
-        if length > FRAME + hopmoor_seal::OVERHEAD {
+        if length > MAX_FRAME_BYTES + hopmoor_seal::OVERHEAD {
             refused(node, link, from, Refused::Malformed);
             break;
         }
