--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -27,7 +27,8 @@
 #[derive(Debug)]
 pub(crate) struct Settling {
     last_change: Millis,
-    /// Counts the exchanges that this node began: odd ones go to live nodes, even ones to dead nodes.
+    /// Counts the exchanges that this node began: odd ones go to live nodes, even ones to dead
+    /// nodes, if there are any.
     exchanges_begun: u64,
     /// When the next exchange is due.
     next_exchange: Millis,
@@ -266,7 +267,7 @@
                 .is_some_and(|record| record.incarnation == id.incarnation && record.has_left());
             if id.name == self.id.name {
                 match state {
-                    ReportedState::Dead if id == self.id => self.declared_dead(now),
+                    ReportedState::Dead if id == self.id => self.handle_declared_dead(now),
                     ReportedState::Suspect if id == self.id => {
                         updates.push(Member::new(id, refutations, State::Suspect));
                     }
@@ -276,8 +277,8 @@
             }
             match self.lookup(&id) {
                 None if state == ReportedState::Dead => {
-                    // Recorded with its age, and not at all once others forget it; else it would circulate
-                    // for ever.
+                    // Recorded with its age, and not at all once it is so old that others forget it;
+                    // otherwise it would circulate for ever.
                     if dead_ms < FORGET_DEAD_AFTER_MS && free_slots > 0 {
                         free_slots -= 1;
                         self.dead_since.insert(id.name.clone(), now.saturating_sub(dead_ms));
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -12,27 +12,27 @@
 /// The local health score: 0 is healthy, higher means less trust in this node's own observations.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    health_score: u32,
+    score: u32,
 }
 
 impl Health {
-    pub(crate) fn health_score(self) -> u32 {
-        self.health_score
+    pub(crate) fn score(self) -> u32 {
+        self.score
     }
 
     /// Stretches a timeout in proportion to the score.
     pub(crate) fn scale(self, timeout: Millis) -> Millis {
-        timeout * Millis::from(1 + self.health_score)
+        timeout * Millis::from(1 + self.score)
     }
 
     /// Raises the score: this node was stalled, a probe got no answer, or a node that it suspected proved
     /// alive.
     pub(crate) fn worsen(&mut self) {
-        self.health_score = (self.health_score + 1).min(MAX_SCORE);
+        self.score = (self.score + 1).min(MAX_SCORE);
     }
 
     /// Lowers the score: a probe was answered.
     pub(crate) fn improve(&mut self) {
-        self.health_score = self.health_score.saturating_sub(1);
+        self.score = self.score.saturating_sub(1);
     }
 }
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -43,7 +43,7 @@
 impl NameHash {
     fn of(name: &str) -> NameHash {
         let digest: [u8; 32] = Sha256::digest(name.as_bytes()).into();
-        NameHash(digest.iter().take(16).fold(0, |name_hash, byte| name_hash << 8 | u128::from(*byte)))
+        NameHash(digest.iter().take(16).fold(0, |bits, byte| bits << 8 | u128::from(*byte)))
     }
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,7 +3,7 @@
 //! what it asks for: datagrams to send, exchanges to start and timers.
 //!
 //! - [`identity`]: names, addresses and incarnations of nodes.
-//! - [`node_info`]: what a node announces about itself, and the table of the latest announcement of each node.
+//! - [`node_info`]: what a node announces about itself, and the latest announcement of each.
 //! - `wire`: the encoding of datagrams and frames. `replay`: drops replayed datagrams.
 //! - `health`: how far a node trusts its own observations (Lifeguard). `timers`: the timer queue, which
 //!   pauses while the process is stalled.
@@ -126,13 +126,14 @@
     Call(SocketAddr),
 }
 
+/// What a timer triggers.
 #[derive(Debug)]
 enum Due {
     Foca(Timer<Id>),
     /// Tell a suspect of the suspicion: its identity, its refutations at the time, and until when to repeat
     /// it.
     NotifySuspect(Id, u16, Millis),
-    /// Start an exchange, unless the timer was replaced: its generation.
+    /// Start an exchange, unless a later timer replaced this one; the value is this timer's generation.
     Exchange(u64),
     /// Contact a seed.
     Seed,
@@ -219,9 +220,11 @@
     rng: StdRng,
     id: Id,
     seeds: Vec<SocketAddr>,
+    /// Sequence number of the last datagram sent.
     sequence: u64,
     /// Counts this node's own info records within its incarnation.
     info_version: u32,
+    /// What this node announces about itself.
     info: NodeInfo,
     peers: HashMap<Name, Peer>,
     /// When each dead node was declared dead.
@@ -236,6 +239,7 @@
     stats: Stats,
     /// Counts membership changes, to invalidate caches.
     changes: u64,
+    /// [`Event::Full`] was reported.
     full_reported: bool,
     leaving: bool,
 }
@@ -254,7 +258,7 @@
         remove_down_after: Some(Duration::from_millis(FORGET_DEAD_AFTER_MS)),
         max_packet_size: non_zero(wire::MAX_GOSSIP_BYTES),
         notify_down_members: true,
-        // Exchanges do this, and compare digests first.
+        // Exchanges do this, and only if the digests differ.
         periodic_announce: None,
         periodic_announce_to_down_members: every(ANNOUNCE_TO_DEAD_MS, 1),
         periodic_gossip: every(GOSSIP_PERIOD_MS, GOSSIP_FANOUT),
@@ -518,7 +522,7 @@
             self.mark_unsettled(now);
         }
         if output.defunct {
-            self.declared_dead(now);
+            self.handle_declared_dead(now);
         }
     }
 
@@ -635,7 +639,7 @@
             Message::DeclaredDead { from, about } => {
                 self.note_sender(now, &from, sequence)?;
                 if about == self.id {
-                    self.declared_dead(now);
+                    self.handle_declared_dead(now);
                 }
             }
         }
--- a/crates/fleet/src/rejoin.rs
+++ b/crates/fleet/src/rejoin.rs
@@ -49,7 +49,7 @@
 
     /// Schedules a rejoin because another node holds this incarnation dead. Death can't be refuted by the
     /// same incarnation.
-    pub(crate) fn declared_dead(&mut self, now: Millis) {
+    pub(crate) fn handle_declared_dead(&mut self, now: Millis) {
         if self.leaving
             || self.rejoin_state.is_superseded()
             || std::mem::replace(&mut self.rejoin_state.rejoin_pending, true)
@@ -101,7 +101,7 @@
 
     /// Ends this incarnation's part in SWIM without telling the others. If it announced its own death, nodes
     /// that don't know the later process yet would report the node as down.
-    fn stop_probing(&mut self, now: Millis) {
+    fn leave_silently(&mut self, now: Millis) {
         let dead = foca::Member::new(self.id.clone(), 0, foca::State::Down);
         let mut output = FocaOutput::default();
         let _ = self.foca.apply_many(std::iter::once(dead), false, &mut output);
@@ -153,7 +153,7 @@
             return;
         }
         if !self.rejoin_state.is_superseded() {
-            self.stop_probing(now);
+            self.leave_silently(now);
             self.events.push_back(Event::NameTaken(by.clone()));
             self.timers.set(now + CHECK_SUPERSEDER_MS, Due::CheckSuperseder);
         }
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -160,7 +160,8 @@
             fleet.apply_members(1_000, vec![foca::Member::alive(of.clone())], true);
         }
         let now = 1_000 + known_for;
-        // A first message makes the sender known; a message of the node itself, that it was heard.
+        // The first datagram from `b` starts the time for which `a` knows it. One from `of` itself shows `a`
+        // that it is up.
         report_dead(&mut b, &mut a, &id("nobody", 8), 1_000);
         if let Some(ago) = heard {
             report_dead(&mut c, &mut a, &id("nobody", 8), now - ago);
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -80,7 +80,7 @@
     pub bytes_out: u64,
     /// Datagrams and frames refused.
     pub refused: u64,
-    /// Times that nodes joined, died, left or rejoined.
+    /// Times that the membership changed: nodes joined, died, left or rejoined.
     pub view_changes: u64,
     /// Exchanges that other nodes began with this one.
     pub exchanges: u64,
@@ -93,7 +93,7 @@
 /// The digest, and the change counters of the membership and the info table that it was computed at.
 #[derive(Debug, Default)]
 pub(crate) struct CachedDigest {
-    of: Option<(u64, u64)>,
+    versions: Option<(u64, u64)>,
     digest: [u8; 32],
 }
 
@@ -120,16 +120,16 @@
     pub fn digest(&self) -> [u8; 32] {
         let info_table = self.info_table.borrow();
         let mut cached = self.digest.borrow_mut();
-        let now = Some((self.changes, info_table.changes));
-        if cached.of != now {
-            let mut there: Vec<&Id> = self.foca.iter_members().map(foca::Member::id).collect();
-            there.push(&self.id);
-            there.sort();
+        let versions = Some((self.changes, info_table.changes));
+        if cached.versions != versions {
+            let mut present: Vec<&Id> = self.foca.iter_members().map(foca::Member::id).collect();
+            present.push(&self.id);
+            present.sort();
             let mut hash = Sha256::new();
-            for id in there {
+            for id in present {
                 hash_member(&mut hash, id, info_table.get_for(id));
             }
-            *cached = CachedDigest { of: now, digest: hash.finalize().into() };
+            *cached = CachedDigest { versions, digest: hash.finalize().into() };
         }
         cached.digest
     }
@@ -137,13 +137,13 @@
     /// The view at this time.
     pub fn view(&self, now: Millis) -> View {
         let info_table = self.info_table.borrow();
-        let seen = |id: &Id, state: State, heard_ms: Option<Millis>| {
+        let node_view = |id: &Id, state: State, heard_ms: Option<Millis>| {
             let info = info_table.get_for(id).and_then(|record| NodeInfo::read(&record.fields));
             let left = info.as_ref().is_some_and(|info| info.ready == Readiness::Left);
             let state = if state == State::Dead && left { State::Left } else { state };
             NodeView { id: id.clone(), state, info, heard_ms }
         };
-        let mut members = vec![seen(&self.id, State::Alive, Some(0))];
+        let mut members = vec![node_view(&self.id, State::Alive, Some(0))];
         for member in self.foca.iter_membership_state() {
             let state = match member.state() {
                 foca::State::Alive => State::Alive,
@@ -152,13 +152,17 @@
             };
             let peer = self.peers.get(&member.id().name);
             let heard = peer.filter(|peer| peer.incarnation == member.id().incarnation);
-            members.push(seen(member.id(), state, heard.map(|peer| now.saturating_sub(peer.last_heard))));
+            members.push(node_view(
+                member.id(),
+                state,
+                heard.map(|peer| now.saturating_sub(peer.last_heard)),
+            ));
         }
         members.sort_by(|a, b| a.id.cmp(&b.id));
         View {
             id: self.id.clone(),
             digest: self.digest(),
-            health_score: self.health.health_score(),
+            health_score: self.health.score(),
             settled: self.is_settled(now),
             sharing: self.sharing(now),
             superseded_by: self.superseded_by().cloned(),
