--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,174 +1,198 @@
-//! Many gateways in virtual time round members that have just started: what all together send to each of them, against what the
-//! settings allow, N + 2 x root of N + 2 in any span, N being the multiple of what a member can take at the slowest warm-up. A member
-//! can take its even part of the stated rate.
+//! Simulates many nodes in virtual time in front of members that have just started, and compares what all
+//! nodes together send to each such member with what the settings allow: N + 2 x root of N + 2 in any span,
+//! where N is the multiple of what a member can take at the slowest warm-up. A member can take its even share
+//! of the stated rate.
 #![allow(dead_code)]
 use super::{backend, request};
 use hopmoor::*;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// A fleet and what comes to it.
+/// A fleet, its pool and the requests that arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmupScenario {
     pub gateways: u32,
     pub members: u64,
-    /// Of them just started; with zones, all of the first zone and no others.
+    /// How many of the members have just started; with zones, all members of the first zone instead.
     pub cold: u64,
-    /// Requests a second inside all shares.
+    /// Requests a second that the tenant's quota covers.
     pub rate: f64,
-    /// What comes, over that.
+    /// Requests that arrive, as a multiple of `rate`.
     pub load: f64,
-    /// So many come at once as the members start, over the rate.
+    /// Extra requests that arrive together as the members start, as a multiple of `rate`.
     pub storm: f64,
-    /// Groups; none where requests have none.
+    /// Number of groups; 0 if requests have no group.
     pub groups: u64,
-    /// Gateways differ by up to so many times in what they get.
-    pub uneven: f64,
-    pub factor: f64,
-    pub span: f64,
-    pub start: f64,
-    pub warm: f64,
-    /// Zones, over which gateways and members are spread evenly.
+    /// A node's traffic differs from the others' by up to this factor, upwards and downwards.
+    pub share_spread: f64,
+    pub overload_factor: f64,
+    pub span_ms: f64,
+    pub start_capacity: f64,
+    pub warm_up_ms: f64,
+    /// Number of zones, over which nodes and members are spread evenly.
     pub zones: u32,
-    /// The gateways of the first zone start with the cold members, and know nothing of before.
+    /// Whether the nodes of the first zone restart together with the cold members and have lost what they
+    /// knew.
     pub restarted: bool,
 }
 
 impl WarmupScenario {
-    /// Whether a gateway or member, by its number from 0, is in the first zone.
+    /// Whether a node or member, by its index, is in the first zone.
     fn in_first_zone(self, number: u64) -> bool {
         number.is_multiple_of(u64::from(self.zones))
     }
 
-    /// Whether a member, by its number from 0, has just started.
+    /// Whether a member, by its index, has just started.
     fn is_cold(self, member: u64) -> bool {
         if self.zones > 1 { self.in_first_zone(member) } else { member < self.cold }
     }
 }
 
-pub struct Draw(u64);
+/// A linear congruential generator.
+pub struct Lcg(u64);
 
-impl Draw {
+impl Lcg {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
 
-/// What was sent to a member that started, over what it is allowed with chance: the largest excess in any span; and how many
-/// connections each got on average.
-pub fn excess(play: WarmupScenario, seed: u64) -> (f64, f64) {
-    let tenants =
-        vec![Tenant { quota_connections: play.rate * 40.0, quota_rate: play.rate, ..Tenant::default() }];
-    let settings = |at: u32| Settings {
-        zone: ZoneId(at % play.zones),
-        balancers: play.gateways,
+/// Returns the largest excess in any span of what was sent to a member that has just started, over the
+/// allowance with its margin for chance; and how many connections each such member got on average.
+pub fn simulate(scenario: WarmupScenario, seed: u64) -> (f64, f64) {
+    let tenants = vec![Tenant {
+        quota_connections: scenario.rate * 40.0,
+        quota_rate: scenario.rate,
+        ..Tenant::default()
+    }];
+    let settings = |index: u32| Settings {
+        zone: ZoneId(index % scenario.zones),
+        balancers: scenario.gateways,
         tenants: tenants.clone(),
-        start_capacity: play.start,
-        warm_up_ms: play.warm,
-        overload_factor: play.factor,
-        overload_span_ms: play.span,
+        start_capacity: scenario.start_capacity,
+        warm_up_ms: scenario.warm_up_ms,
+        overload_factor: scenario.overload_factor,
+        overload_span_ms: scenario.span_ms,
         max_attempts: 6,
         max_retry_after_ms: 1_500.0,
         tick_ms: 2.0,
         ..Settings::default()
     };
-    let mut draw = Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-    let begins = 30_000.0;
-    let mut fleet: Vec<Fast> =
-        (0..play.gateways).map(|at| Fast::new(settings(at), seed * 10_000 + u64::from(at))).collect();
-    let all = |born: Option<f64>| -> Vec<BackendInfo> {
-        let zone = |id: u64| ZoneId((id % u64::from(play.zones)) as u32);
-        let one = |id| BackendInfo {
+    let mut rng = Lcg(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+    let start_ms = 30_000.0;
+    let mut fleet: Vec<FastNode> = (0..scenario.gateways)
+        .map(|index| FastNode::new(settings(index), seed * 10_000 + u64::from(index)))
+        .collect();
+    let backends = |started_at: Option<f64>| -> Vec<BackendInfo> {
+        let zone = |id: u64| ZoneId((id % u64::from(scenario.zones)) as u32);
+        let entry = |id| BackendInfo {
             zone: zone(id),
-            started_at: born.filter(|_| play.is_cold(id)),
+            started_at: started_at.filter(|_| scenario.is_cold(id)),
             ..backend(id + 1)
         };
-        (0..play.members).map(one).collect()
+        (0..scenario.members).map(entry).collect()
     };
-    for gateway in &mut fleet {
-        gateway.give(0.0, Event::Backends { scope: ListScope::Whole, entries: all(None) });
+    for node in &mut fleet {
+        node.give(0.0, Event::Backends { scope: ListScope::Whole, entries: backends(None) });
     }
-    // Shares of the traffic: some gateways get several times the mean.
-    let shares: Vec<f64> = (0..play.gateways).map(|_| play.uneven.powf(2.0 * draw.next() - 1.0)).collect();
-    let sum: f64 = shares.iter().sum();
-    let mut comes: Vec<(f64, usize)> = Vec::new();
-    for (at, share) in shares.iter().enumerate() {
-        let each = play.rate * play.load * share / sum / 1_000.0;
+    // Shares of the traffic: some nodes get several times the mean.
+    let shares: Vec<f64> =
+        (0..scenario.gateways).map(|_| scenario.share_spread.powf(2.0 * rng.next() - 1.0)).collect();
+    let total_share: f64 = shares.iter().sum();
+    let mut arrivals: Vec<(f64, usize)> = Vec::new();
+    for (index, share) in shares.iter().enumerate() {
+        let rate_per_ms = scenario.rate * scenario.load * share / total_share / 1_000.0;
         let mut time = 0.0;
         loop {
-            time += -(1.0 - draw.next()).ln() / each;
-            if time > begins + play.warm {
+            time += -(1.0 - rng.next()).ln() / rate_per_ms;
+            if time > start_ms + scenario.warm_up_ms {
                 break;
             }
-            comes.push((time, at));
+            arrivals.push((time, index));
         }
     }
-    for _ in 0..(play.storm * play.rate) as usize {
-        comes.push((begins + 100.0 + 900.0 * draw.next(), (draw.next() * f64::from(play.gateways)) as usize));
+    for _ in 0..(scenario.storm * scenario.rate) as usize {
+        arrivals.push((
+            start_ms + 100.0 + 900.0 * rng.next(),
+            (rng.next() * f64::from(scenario.gateways)) as usize,
+        ));
     }
-    comes.sort_by(|a, b| a.0.total_cmp(&b.0));
+    arrivals.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut sent: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
     let mut ends: BinaryHeap<std::cmp::Reverse<(u64, usize, u64, u64)>> = BinaryHeap::new();
-    let mut listed = false;
-    for (id, (time, at)) in comes.into_iter().enumerate() {
-        if time >= begins && !listed {
-            listed = true;
-            for (at, gateway) in (0_u32..).zip(&mut fleet) {
-                if play.restarted && play.in_first_zone(u64::from(at)) {
-                    *gateway = Fast::new(settings(at), seed * 20_000 + u64::from(at));
+    let mut members_started = false;
+    for (id, (time, index)) in arrivals.into_iter().enumerate() {
+        if time >= start_ms && !members_started {
+            members_started = true;
+            for (index, node) in (0_u32..).zip(&mut fleet) {
+                if scenario.restarted && scenario.in_first_zone(u64::from(index)) {
+                    *node = FastNode::new(settings(index), seed * 20_000 + u64::from(index));
                 }
-                gateway.give(begins, Event::Backends { scope: ListScope::Whole, entries: all(Some(begins)) });
+                node.give(
+                    start_ms,
+                    Event::Backends { scope: ListScope::Whole, entries: backends(Some(start_ms)) },
+                );
             }
         }
-        while let Some(std::cmp::Reverse((end, node, id, to))) =
+        while let Some(std::cmp::Reverse((end, index, id, to))) =
             ends.peek().copied().filter(|e| (e.0.0 as f64) < time)
         {
             ends.pop();
-            if !(play.restarted && listed && play.in_first_zone(node as u64) && (end as f64) < begins) {
-                fleet[node].end(end as f64, id, BackendId(to));
+            if !(scenario.restarted
+                && members_started
+                && scenario.in_first_zone(index as u64)
+                && (end as f64) < start_ms)
+            {
+                fleet[index].end(end as f64, id, BackendId(to));
             }
         }
-        let group = (play.groups > 0).then(|| {
-            let group = (play.groups as f64 * draw.next().powi(2)) as u64;
+        let group = (scenario.groups > 0).then(|| {
+            let group = (scenario.groups as f64 * rng.next().powi(2)) as u64;
             AffinityKey(group.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
         });
-        let gateway = &mut fleet[at];
-        for to in gateway.ask(time, Request { group, ..request(id as u64) }) {
-            if listed && play.is_cold(to.1.0 - 1) {
+        let node = &mut fleet[index];
+        for to in node.ask(time, Request { group, ..request(id as u64) }) {
+            if members_started && scenario.is_cold(to.1.0 - 1) {
                 sent.entry(to.1.0).or_default().push(to.2);
             }
-            let life = -(1.0 - draw.next()).ln() * 40_000.0;
-            ends.push(std::cmp::Reverse(((to.2 + life) as u64, at, to.0.0, to.1.0)));
+            let lifetime_ms = -(1.0 - rng.next()).ln() * 40_000.0;
+            ends.push(std::cmp::Reverse(((to.2 + lifetime_ms) as u64, index, to.0.0, to.1.0)));
         }
     }
-    let capacity = play.rate / play.members as f64 / 1_000.0;
-    let warmth = |age: f64| (play.start + (1.0 - play.start) * age / play.warm).clamp(play.start, 1.0);
+    let capacity = scenario.rate / scenario.members as f64 / 1_000.0;
+    let warmth = |age: f64| {
+        (scenario.start_capacity + (1.0 - scenario.start_capacity) * age / scenario.warm_up_ms)
+            .clamp(scenario.start_capacity, 1.0)
+    };
     let mut worst = f64::NEG_INFINITY;
     let mut total = 0;
     for times in sent.values_mut() {
         times.sort_by(f64::total_cmp);
         total += times.len() as u32;
         for (last, time) in times.iter().enumerate() {
-            let from = (time - play.span).max(begins);
+            let from = (time - scenario.span_ms).max(start_ms);
             let count = times[..=last].iter().filter(|t| **t >= from).count() as f64;
-            let may =
-                play.factor * capacity * play.span * (warmth(from - begins) + warmth(time - begins)) / 2.0;
-            worst = worst.max(count - (may + 2.0 * may.sqrt() + 2.0));
+            let allowed = scenario.overload_factor
+                * capacity
+                * scenario.span_ms
+                * (warmth(from - start_ms) + warmth(time - start_ms))
+                / 2.0;
+            worst = worst.max(count - (allowed + 2.0 * allowed.sqrt() + 2.0));
         }
     }
     (worst, f64::from(total) / sent.len().max(1) as f64)
 }
 
-/// A gateway in virtual time that jumps from timer to timer. Whoever is sent to stands at once.
-struct Fast {
+/// A node in virtual time that jumps from timer to timer. Every attempt is established at once.
+struct FastNode {
     balancer: Balancer,
     timers: BinaryHeap<std::cmp::Reverse<(u64, u64)>>,
     sends: Vec<(RequestId, BackendId, f64)>,
 }
 
-impl Fast {
+impl FastNode {
     fn new(settings: Settings, seed: u64) -> Self {
-        Fast { balancer: Balancer::new(settings, seed), timers: BinaryHeap::new(), sends: Vec::new() }
+        FastNode { balancer: Balancer::new(settings, seed), timers: BinaryHeap::new(), sends: Vec::new() }
     }
 
     fn handle(&mut self, now: f64, event: Event) {
@@ -215,7 +239,8 @@
     }
 }
 
-/// Two settings as operators state them: 3 times for 3 s from an eighth on, 4 times for 1 s from a third on.
+/// Two settings as operators state them: overload factor 3 in spans of 3 s starting at an eighth, and factor
+/// 4 in spans of 1 s starting at a third.
 pub const SLOW: WarmupScenario = WarmupScenario {
     gateways: 30,
     members: 12,
@@ -224,11 +249,11 @@
     load: 0.8,
     storm: 0.0,
     groups: 20,
-    uneven: 3.0,
-    factor: 3.0,
-    span: 3_000.0,
-    start: 0.12,
-    warm: 24_000.0,
+    share_spread: 3.0,
+    overload_factor: 3.0,
+    span_ms: 3_000.0,
+    start_capacity: 0.12,
+    warm_up_ms: 24_000.0,
     zones: 1,
     restarted: false,
 };
@@ -237,30 +262,30 @@
     cold: 5,
     rate: 20.0,
     groups: 30,
-    factor: 4.0,
-    span: 1_000.0,
-    start: 0.37,
-    warm: 7_700.0,
+    overload_factor: 4.0,
+    span_ms: 1_000.0,
+    start_capacity: 0.37,
+    warm_up_ms: 7_700.0,
     ..SLOW
 };
 pub const LONG: WarmupScenario = WarmupScenario {
     members: 14,
     rate: 30.0,
-    factor: 2.0,
-    span: 5_000.0,
-    start: 0.2,
-    warm: 14_000.0,
+    overload_factor: 2.0,
+    span_ms: 5_000.0,
+    start_capacity: 0.2,
+    warm_up_ms: 14_000.0,
     groups: 30,
     ..SLOW
 };
 pub const TWENTY: WarmupScenario = WarmupScenario { gateways: 20, members: 10, cold: 3, rate: 20.0, ..SLOW };
 
-/// The largest excess over these seeds, and the least that newcomers got.
-pub fn worst(play: WarmupScenario, seeds: u64) -> (f64, f64) {
-    let all = (0..seeds).map(|seed| excess(play, seed));
-    let (most, least) = all.fold((f64::NEG_INFINITY, f64::INFINITY), |(most, least), (over, sent)| {
+/// The largest excess over these seeds, and the smallest mean that the new members of one seed got.
+pub fn worst(scenario: WarmupScenario, seeds: u64) -> (f64, f64) {
+    let results = (0..seeds).map(|seed| simulate(scenario, seed));
+    let (most, least) = results.fold((f64::NEG_INFINITY, f64::INFINITY), |(most, least), (over, sent)| {
         (most.max(over), least.min(sent))
     });
-    println!("{play:?}: excess {most:+.2} at most, {least:.1} a newcomer at least");
+    println!("{scenario:?}: largest excess {most:+.2}, at least {least:.1} per new member");
     (most, least)
 }
