--- a/tests/fleet_node.rs
+++ b/tests/fleet_node.rs
@@ -1,5 +1,4 @@
-//! One node of a fleet as its staff and its clients meet it: an upgrade is one node, a flood harms nobody, and where no
-//! fleet is set there is none.
+//! A fleet of one or two real processes, as operators and clients see it.
 #[path = "common/node.rs"]
 mod process;
 
@@ -26,8 +25,8 @@
         self.0.path().join(name)
     }
 
-    /// Writes an operator's file for a node of this name, whose fleet port is this.
-    fn operator(&self, name: &str, discovery: &str, port: u16, seeds: &[u16]) -> PathBuf {
+    /// Writes the operator file of a node with this name, fleet port and seeds.
+    fn operator_file(&self, name: &str, discovery: &str, port: u16, seeds: &[u16]) -> PathBuf {
         let config = config(discovery).replace("\"name\":\"n\"", &format!("\"name\":\"{name}\""));
         std::fs::write(self.file(&format!("{name}.config.json")), config).unwrap();
         let seeds: Vec<String> = seeds.iter().map(|port| format!("127.0.0.1:{port}")).collect();
@@ -41,22 +40,23 @@
     }
 }
 
-/// A port that is free for both, and that the system gives to nobody who asks for any: those of other tests beside this one
-/// come from 32768 on, and one that was asked for and let go again was taken by them before the node had it.
+/// Returns a port that is free for both UDP and TCP. It lies below 32768, where the system takes the ports
+/// for callers that ask for any: a port from there, freed for the node to bind, was sometimes taken by
+/// another test first.
 fn free_port() -> u16 {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let from = std::process::id() as u16 % 8_000;
+    let offset = std::process::id() as u16 % 8_000;
     let free = |port: &u16| {
         UdpSocket::bind(("127.0.0.1", *port)).is_ok() && TcpListener::bind(("127.0.0.1", *port)).is_ok()
     };
-    let ports = std::iter::repeat_with(|| 20_000 + (from + NEXT.fetch_add(1, Ordering::Relaxed)) % 8_000);
+    let ports = std::iter::repeat_with(|| 20_000 + (offset + NEXT.fetch_add(1, Ordering::Relaxed)) % 8_000);
     ports.take(8_000).find(free).expect("a free port")
 }
 
-fn start_in(operator: &PathBuf, passed: Option<&TcpListener>) -> (Node, String) {
+fn start_with(operator: &PathBuf, inherited: Option<&TcpListener>) -> (Node, String) {
     let node = launch("{}", |command| {
         command.arg("--operator").arg(operator);
-        if let Some(socket) = passed {
+        if let Some(socket) = inherited {
             let socket = OwnedFd::from(socket.try_clone().unwrap());
             command.stdin(Stdio::from(socket)).env("NODE_PASSED_SOCKET", "0");
         }
@@ -71,15 +71,15 @@
     view["members"].as_array()?.iter().find(|member| member["name"] == name).cloned()
 }
 
-fn is(admin: &str, name: &str, state: &str) -> bool {
+fn has_state(admin: &str, name: &str, state: &str) -> bool {
     member(admin, name).is_some_and(|member| member["state"] == state)
 }
 
-/// All fields that are wrong are named at once, and no secret is.
+/// `check` reports all invalid fields at once, and no secret.
 #[test]
 fn check_names_every_bad_field_of_the_fleet() {
     let folder = Folder::new();
-    let operator = folder.operator("a", "127.0.0.1:1", 1, &[]);
+    let operator = folder.operator_file("a", "127.0.0.1:1", 1, &[]);
     let check = || {
         let output = hopmoor().args(["check", "--operator"]).arg(&operator).output().unwrap();
         (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned())
@@ -92,20 +92,20 @@
     std::fs::write(folder.file("keys.json"), r#"{"seal_with":1,"keys":[{"id":1,"secret":"c2hvcnQ="}]}"#)
         .unwrap();
     std::fs::write(&operator, json!({"config": "a.config.json", "fleet": fleet}).to_string()).unwrap();
-    let (good, told) = check();
-    assert!(!good && !told.contains("c2hvcnQ"), "{told}");
+    let (valid, errors) = check();
+    assert!(!valid && !errors.contains("c2hvcnQ"), "{errors}");
     for field in
         ["fleet.advertise", "fleet.seeds[0]", "fleet.seeds[1]", "fleet.keys", "keys[0].secret", "fleet.zone"]
     {
-        assert!(told.contains(field), "{field}: {told}");
+        assert!(errors.contains(field), "{field}: {errors}");
     }
 }
 
-/// One object a line, each with node, incarnation and time.
+/// With `--log-format json` each line is one object with the node, its incarnation and the time.
 #[test]
-fn logs_are_lines_that_a_machine_reads() {
+fn json_log_lines_carry_node_incarnation_and_time() {
     let (site, folder) = (site(&[77]), Folder::new());
-    let operator = folder.operator("a", &site.discovery.address(), free_port(), &[]);
+    let operator = folder.operator_file("a", &site.discovery.address(), free_port(), &[]);
     let node = launch("{}", |command| {
         command.args(["--log-format", "json", "--operator"]).arg(&operator);
     });
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn without_a_fleet_there_is_none() {
+fn without_the_fleet_setting_there_is_no_fleet_endpoint() {
     let site = site(&[77]);
     let (_node, admin) = start_called(&site.discovery.address());
     assert_eq!(call(&admin, "GET", "/-/fleet").0, 404);
@@ -124,34 +124,34 @@
 }
 
 #[test]
-fn an_upgrade_is_one_node_to_the_others() {
+fn an_upgrade_appears_as_one_node_to_the_others() {
     let (site, folder) = (site(&[77]), Folder::new());
     let (a, b) = (free_port(), free_port());
     let discovery = site.discovery.address();
-    let (_other, sees) = start_in(&folder.operator("b", &discovery, b, &[a]), None);
+    let (_other, observer) = start_with(&folder.operator_file("b", &discovery, b, &[a]), None);
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let operator = folder.operator("a", &discovery, a, &[b]);
-    let (old, _) = start_in(&operator, Some(&socket));
-    assert!(within(5.0, || is(&sees, "a", "alive")));
-    let first = member(&sees, "a").unwrap()["incarnation"].as_u64().unwrap();
-    let (new, admin) = start_in(&operator, Some(&socket));
+    let operator = folder.operator_file("a", &discovery, a, &[b]);
+    let (old, _) = start_with(&operator, Some(&socket));
+    assert!(within(5.0, || has_state(&observer, "a", "alive")));
+    let first = member(&observer, "a").unwrap()["incarnation"].as_u64().unwrap();
+    let (new, admin) = start_with(&operator, Some(&socket));
     assert!(within(5.0, || call(&admin, "GET", "/-/ready").0 == 200));
-    assert_eq!(call(&admin, "GET", "/-/fleet").0, 503, "the port is still the old one's");
+    assert_eq!(call(&admin, "GET", "/-/fleet").0, 503, "the old process still holds the port");
     old.signal("-TERM");
-    let began = Instant::now();
+    let started = Instant::now();
     let mut states = Vec::new();
-    let came = within(8.0, || {
-        let member = member(&sees, "a").unwrap();
+    let replaced = within(8.0, || {
+        let member = member(&observer, "a").unwrap();
         states.push(member["state"].as_str().unwrap().to_owned());
         member["incarnation"].as_u64().unwrap() > first
     });
-    assert!(came, "after {:?}: {states:?}", began.elapsed());
+    assert!(replaced, "after {:?}: {states:?}", started.elapsed());
     assert!(states.iter().all(|state| state == "alive" || state == "suspect"), "{states:?}");
-    // It goes on being there, as what the new process says of itself.
+    // It is still up, now with the info that the new process announces.
     thread::sleep(Duration::from_secs(2));
-    let member = member(&sees, "a").unwrap();
+    let member = member(&observer, "a").unwrap();
     assert_eq!((&member["state"], &member["ready"]), (&json!("alive"), &json!("serving")));
-    assert!(is(&admin, "b", "alive"));
+    assert!(has_state(&admin, "b", "alive"));
     drop(new);
 }
 
@@ -167,26 +167,27 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// 20,000 forged datagrams a second for 4 s: clients are served in time, the view stands, memory stays, one line is logged.
+/// Sends 20,000 forged datagrams a second for 4 s. Clients must be served in time, the views stay, memory
+/// must not grow, and one line is logged.
 #[test]
-fn a_flood_of_forged_datagrams_harms_nobody() {
+fn a_flood_of_forged_datagrams_disturbs_neither_clients_nor_the_view() {
     let (site, folder) = (site(&[77]), Folder::new());
     let (a, b) = (free_port(), free_port());
     let discovery = site.discovery.address();
-    let (node, admin) = start_in(&folder.operator("a", &discovery, a, &[b]), None);
-    let (_other, other) = start_in(&folder.operator("b", &discovery, b, &[a]), None);
-    assert!(within(5.0, || is(&admin, "b", "alive") && is(&other, "a", "alive")));
+    let (node, admin) = start_with(&folder.operator_file("a", &discovery, a, &[b]), None);
+    let (_other, other) = start_with(&folder.operator_file("b", &discovery, b, &[a]), None);
+    assert!(within(5.0, || has_state(&admin, "b", "alive") && has_state(&other, "a", "alive")));
     let mut client = node.connect();
     assert_eq!(talk(&mut client, "OPEN 1 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
     let (ticks, kilobytes) = (cpu_ticks(&node), resident_kb(&node));
-    let began = Instant::now();
+    let started = Instant::now();
     let flood = thread::spawn(move || {
         let udp = UdpSocket::bind("127.0.0.1:0").unwrap();
         let mut bytes = [9u8; 120];
         bytes[..5].copy_from_slice(&[b'd', 1, 0, 0, 0]);
         let mut sent = 0u64;
-        while began.elapsed() < Duration::from_secs(4) {
-            while sent < (began.elapsed().as_secs_f64() * 20_000.0) as u64 {
+        while started.elapsed() < Duration::from_secs(4) {
+            while sent < (started.elapsed().as_secs_f64() * 20_000.0) as u64 {
                 bytes[5..13].copy_from_slice(&sent.to_le_bytes());
                 let _ = udp.send_to(&bytes, ("127.0.0.1", a));
                 sent += 1;
@@ -197,16 +198,16 @@
     });
     let mut slowest = Duration::ZERO;
     while !flood.is_finished() {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         assert_eq!(talk(&mut client, "tick\r\n"), "tick\r\n");
-        slowest = slowest.max(asked.elapsed());
-        assert!(is(&admin, "b", "alive") || is(&admin, "b", "suspect"));
-        assert!(is(&other, "a", "alive") || is(&other, "a", "suspect"));
+        slowest = slowest.max(sent_at.elapsed());
+        assert!(has_state(&admin, "b", "alive") || has_state(&admin, "b", "suspect"));
+        assert!(has_state(&other, "a", "alive") || has_state(&other, "a", "suspect"));
     }
     let sent = flood.join().unwrap();
-    let spent = (cpu_ticks(&node) - ticks) as f64 / 100.0 / began.elapsed().as_secs_f64();
+    let cpu_share = (cpu_ticks(&node) - ticks) as f64 / 100.0 / started.elapsed().as_secs_f64();
     println!(
-        "{sent} datagrams; slowest line {slowest:?}; {spent:.2} of a core; {} KB more",
+        "{sent} datagrams; slowest echo {slowest:?}; {cpu_share:.2} of a core; memory grew by {} KB",
         resident_kb(&node) - kilobytes
     );
     assert!(sent > 20_000 && slowest < Duration::from_millis(500), "{sent} {slowest:?}");
@@ -216,38 +217,40 @@
     assert!(refused.parse::<u64>().unwrap() > 1_000, "{figures}");
     let lines = node.log.try_iter().filter(|line| line.contains("fleet refused")).count();
     assert_eq!(lines, 1);
-    assert!(within(5.0, || is(&admin, "b", "alive") && is(&other, "a", "alive")));
+    assert!(within(5.0, || has_state(&admin, "b", "alive") && has_state(&other, "a", "alive")));
 }
 
-/// One voter alone: budgets and permits as operators meet them, and what is agreed outlives a killed process.
+/// With a single voter: budgets and permits as operators use them, and agreed state survives a killed
+/// process.
 #[test]
-fn a_drain_waits_for_its_budget_and_what_is_agreed_is_on_disk() {
+fn a_drain_waits_for_its_budget_and_agreed_state_survives_a_kill() {
     let (site, folder) = (site(&[77]), Folder::new());
-    let operator = folder.operator("a", &site.discovery.address(), free_port(), &[]);
+    let operator = folder.operator_file("a", &site.discovery.address(), free_port(), &[]);
     let mut file: Value = serde_json::from_slice(&std::fs::read(&operator).unwrap()).unwrap();
     file["fleet"]["agree"] = json!({"voters": ["a"], "folder": "votes"});
     std::fs::write(&operator, file.to_string()).unwrap();
     let put = |admin: &str, place: &str| call(admin, "PUT", place);
     let permits =
         |admin: &str| -> Value { serde_json::from_str(&call(admin, "GET", "/-/permits").1).unwrap() };
-    let (node, admin) = start_in(&operator, None);
+    let (node, admin) = start_with(&operator, None);
     assert!(within(10.0, || permits(&admin)["leader"] == "a"), "{}", permits(&admin));
     assert_eq!(put(&admin, "/-/budget?most=0").0, 202);
     assert_eq!(put(&admin, "/-/budget?most=many").0, 400);
     assert!(within(5.0, || permits(&admin)["budgets"][0]["most"] == "0"), "{}", permits(&admin));
     assert_eq!(put(&admin, "/-/drain").0, 202);
-    let waits = "waiting: fleet: 0 of 0 out\n";
+    let waiting = "waiting: fleet: 0 of 0 out\n";
     assert!(
-        within(5.0, || put(&admin, "/-/drain") == (202, waits.to_owned())),
+        within(5.0, || put(&admin, "/-/drain") == (202, waiting.to_owned())),
         "{:?}",
         put(&admin, "/-/drain")
     );
     assert_eq!(call(&admin, "GET", "/-/ready").0, 200);
     node.signal("-KILL");
     drop(node);
-    let (_node, admin) = start_in(&operator, None);
+    let (_node, admin) = start_with(&operator, None);
     assert!(within(10.0, || permits(&admin)["leader"] == "a"), "{}", permits(&admin));
-    // The budget stands; the ask of the process that is no more does not, once this one is seen serving.
+    // The budget is still there. The request of the killed process is dropped once the new one is seen
+    // serving.
     assert_eq!(permits(&admin)["budgets"][0]["most"], "0");
     assert!(within(5.0, || permits(&admin)["permits"] == json!([])), "{}", permits(&admin));
     put(&admin, "/-/budget?most=100%25");
