--- a/crates/record/benches/codec.rs
+++ b/crates/record/benches/codec.rs
@@ -1,4 +1,4 @@
-//! What a record costs: to bytes, and back.
+//! Throughput of encoding and decoding records.
 use divan::{Bencher, counter::ItemsCount};
 use hopmoor_record::*;
 
@@ -52,8 +52,10 @@
     let header = Header { base: 1e12, ..Header::default() };
     bencher.counter(ItemsCount::new(records.len())).bench_local(|| {
         let mut out = Vec::with_capacity(64 * 1024);
-        let encoder = Encoder::begin(&header, &mut out).expect("a short header");
-        records.iter().for_each(|record| encoder.record(record, &mut out).expect("a short record"));
+        let encoder = Encoder::begin_segment(&header, &mut out).expect("header fits in a frame");
+        records
+            .iter()
+            .for_each(|record| encoder.encode_record(record, &mut out).expect("record fits in a frame"));
         out
     });
 }
@@ -63,8 +65,10 @@
     let records = records();
     let mut bytes = Vec::new();
     let header = Header { base: 1e12, ..Header::default() };
-    let encoder = Encoder::begin(&header, &mut bytes).expect("a short header");
-    records.iter().for_each(|record| encoder.record(record, &mut bytes).expect("a short record"));
+    let encoder = Encoder::begin_segment(&header, &mut bytes).expect("header fits in a frame");
+    records
+        .iter()
+        .for_each(|record| encoder.encode_record(record, &mut bytes).expect("record fits in a frame"));
     eprintln!("{:.1} bytes a record", bytes.len() as f64 / records.len() as f64);
     bencher.counter(ItemsCount::new(records.len())).bench_local(|| {
         let mut decoder = Decoder::new();
--- a/crates/record/src/codec.rs
+++ b/crates/record/src/codec.rs
@@ -1,115 +1,116 @@
-//! Segments as bytes: a versioned header, then frames.
+//! Binary format of segments: a versioned header followed by one frame for each record.
 //!
 //! ```text
-//! segment: magic "HOPMOOR\n" | format u16 | frame(kind 0: Header) | frame ...
+//! segment: magic "HOPMOOR\n" | format version u16 | frame(kind 0: Header) | frame ...
 //! frame:   payload length u16 | kind u8 | CRC-32C u32 over length, kind and payload | payload
-//! payload: postcard of (time, fields); the time in microseconds since the header's base
+//! payload: (time, fields) in postcard encoding; the time is in microseconds since the header's base
 //! ```
 //!
-//! Numbers are little-endian. The decoder is fed bytes as they come and gives each whole frame once; a frame that is
-//! not whole yet is waited for, one that is damaged ends the segment. It never panics, whatever the bytes are.
+//! Numbers are little-endian. The decoder is fed chunks of any size and returns the record of each complete
+//! frame once. It waits for the rest of an incomplete frame; a damaged frame ends the segment. It does not
+//! panic on any input.
 
 use crate::record::{Event, Record};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The format that this program writes, and the newest that it reads.
-pub const FORMAT: u16 = 1;
-/// What each segment begins with.
+/// Format version that this program writes, and the newest one that it reads.
+pub const FORMAT_VERSION: u16 = 1;
+/// First bytes of each segment.
 pub const MAGIC: &[u8; 8] = b"HOPMOOR\n";
-/// Bytes before a frame's payload.
-pub const FRAME_HEAD: usize = 7;
-/// Bytes before the header's frame.
-pub const SEGMENT_HEAD: usize = MAGIC.len() + 2;
+/// Size of the length, kind and checksum that precede a frame's payload.
+pub const FRAME_HEADER_BYTES: usize = 7;
+/// Size of the magic and the format version that precede the header's frame.
+pub const SEGMENT_PREFIX_BYTES: usize = MAGIC.len() + 2;
 
-/// What the head of a segment says of the records in it: with it a segment can be read alone.
+/// Header of a segment: everything needed to read the segment without the others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     /// The node's name.
     pub node: String,
-    /// The program's version.
+    /// The version of the program that wrote the segment.
     pub program: String,
-    /// When this run of the node began, in Unix milliseconds: the same in all segments of a run.
+    /// Start time of the node's run, in Unix milliseconds. It is the same in all segments of a run.
     pub started: f64,
-    /// The segment's place in the folder.
+    /// Sequence number of the segment in its folder.
     pub sequence: u64,
-    /// What times in the segment count from, in Unix milliseconds.
+    /// Base of the record times in the segment, in Unix milliseconds on the node's clock.
     pub base: f64,
-    /// The host's clock when the segment was begun.
+    /// Time on the host's clock when the segment was created, in Unix milliseconds.
     pub wall: f64,
-    /// What members, classes and tenants are called and worth.
+    /// Names and values of classes, tenants and zones.
     pub site: Site,
-    /// Names of the counters.
+    /// Names of the counters, in the order of [`Counters::values`](crate::record::Counters::values).
     pub counters: Vec<String>,
 }
 
-/// Names and figures that records refer to by place.
+/// Tables that records refer to by index.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Site {
-    /// Classes.
+    /// Classes of transactions.
     pub classes: Vec<Class>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the configured zones.
     pub zones: Vec<String>,
-    /// The node's own zone.
+    /// The node's own zone, as an index into `zones`.
     pub zone: u32,
 }
 
 /// A class of transactions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// What a second of a connection is worth.
+    /// Value of one second of a connection.
     pub worth: f64,
-    /// Within this time its answer is wanted.
+    /// Target for the time to an answer, in milliseconds.
     pub aim_ms: f64,
-    /// Within this time a message is wanted; 0 for no matter.
+    /// Target for the time that a message takes, in milliseconds; 0 if the class has none.
     pub message_aim_ms: f64,
 }
 
-/// What is wrong with a segment.
+/// Damage found in a segment or in the sequence of segments.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Damage {
-    /// It does not begin as a segment does.
+    /// The file does not start with [`MAGIC`].
     Foreign,
-    /// A newer program wrote it.
+    /// The segment was written in a newer format than this program reads.
     Newer {
-        /// In this format.
+        /// Format version of the segment.
         format: u16,
     },
-    /// Its header can't be read.
+    /// The header can't be decoded.
     Header,
-    /// The frame at this byte is not what was written.
+    /// A frame's checksum does not match, or its payload can't be decoded.
     Frame {
-        /// Where it begins.
+        /// Offset of the frame in the uncompressed segment, in bytes.
         at: u64,
     },
-    /// It ends within the frame at this byte.
+    /// The segment ends within a frame.
     Torn {
-        /// Where the frame begins.
+        /// Offset of the frame in the uncompressed segment, in bytes.
         at: u64,
     },
-    /// It can't be unpacked past this byte.
+    /// The segment can't be decompressed any further.
     Packed {
-        /// How much could be.
+        /// Number of bytes decompressed before the error.
         at: u64,
     },
-    /// It could not be read.
+    /// The file could not be opened or read.
     Unreadable {
-        /// Why.
+        /// The I/O error.
         error: String,
     },
-    /// It is larger than any that a node writes.
+    /// The segment is larger than a reader accepts.
     TooLarge {
-        /// Most bytes that are read.
+        /// Maximum number of bytes that are read.
         most: u64,
     },
-    /// Segments before it are missing from the folder.
+    /// Sequence numbers before this segment are missing from the folder.
     Missing {
-        /// How many.
+        /// Number of missing segments.
         segments: u64,
     },
 }
@@ -119,7 +120,10 @@
         match self {
             Damage::Foreign => f.write_str("not a segment of records"),
             Damage::Newer { format } => {
-                write!(f, "format {format}, written by a newer program; this one reads up to {FORMAT}")
+                write!(
+                    f,
+                    "format {format}, written by a newer program; this one reads up to {FORMAT_VERSION}"
+                )
             }
             Damage::Header => f.write_str("its header can't be read"),
             Damage::Frame { at } => write!(f, "damaged at byte {at}; what follows in it is left out"),
@@ -132,26 +136,26 @@
     }
 }
 
-/// Writes a segment's bytes.
+/// Encodes the records of one segment.
 #[derive(Debug)]
 pub struct Encoder {
     base: f64,
 }
 
-/// A value that can't be written: too long for a frame.
+/// A header or record whose payload is over the 65,535 bytes that a frame can hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooLong;
+pub struct FrameTooLong;
 
 impl Encoder {
-    /// Appends the segment's head to `out`.
+    /// Starts a segment: appends the magic, the format version and the header to `out`.
     ///
     /// # Errors
     /// If the header is over 64 KiB; nothing is appended then.
-    pub fn begin(header: &Header, out: &mut Vec<u8>) -> Result<Encoder, TooLong> {
+    pub fn begin_segment(header: &Header, out: &mut Vec<u8>) -> Result<Encoder, FrameTooLong> {
         let start = out.len();
         out.extend_from_slice(MAGIC);
-        out.extend_from_slice(&FORMAT.to_le_bytes());
-        match frame(out, 0, |out| postcard::to_extend(header, out)) {
+        out.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
+        match append_frame(out, 0, |out| postcard::to_extend(header, out)) {
             Ok(()) => Ok(Encoder { base: header.base }),
             Err(error) => {
                 out.truncate(start);
@@ -163,188 +167,198 @@
     /// Appends a record's frame to `out`.
     ///
     /// # Errors
-    /// If it is over 64 KiB; nothing is appended then.
-    pub fn record(&self, record: &Record, out: &mut Vec<u8>) -> Result<(), TooLong> {
-        // A time before the base can't be told; it is the base then.
+    /// If the record is over 64 KiB; nothing is appended then.
+    pub fn encode_record(&self, record: &Record, out: &mut Vec<u8>) -> Result<(), FrameTooLong> {
+        // The format has no negative times: a time before the base is written as the base.
         let at = ((record.at - self.base) * 1_000.0).round().max(0.0) as u64;
-        frame(out, record.event.kind(), |out| record.event.write(at, out))
+        append_frame(out, record.event.kind(), |out| record.event.write(at, out))
     }
 }
 
-fn frame(
+/// Appends a frame to `out`. `payload` appends the payload to the buffer that it is given.
+fn append_frame(
     out: &mut Vec<u8>,
     kind: u8,
     payload: impl FnOnce(Vec<u8>) -> Result<Vec<u8>, postcard::Error>,
-) -> Result<(), TooLong> {
+) -> Result<(), FrameTooLong> {
     let start = out.len();
-    out.extend_from_slice(&[0; FRAME_HEAD]);
-    *out = payload(std::mem::take(out)).map_err(|_| TooLong)?;
-    let Ok(length) = u16::try_from(out.len() - start - FRAME_HEAD) else {
+    out.extend_from_slice(&[0; FRAME_HEADER_BYTES]);
+    *out = payload(std::mem::take(out)).map_err(|_| FrameTooLong)?;
+    let Ok(length) = u16::try_from(out.len() - start - FRAME_HEADER_BYTES) else {
         out.truncate(start);
-        return Err(TooLong);
+        return Err(FrameTooLong);
     };
     let [low, high] = length.to_le_bytes();
     out[start..start + 3].copy_from_slice(&[low, high, kind]);
-    let sum = checksum(&[low, high, kind], &out[start + FRAME_HEAD..]);
-    out[start + 3..start + FRAME_HEAD].copy_from_slice(&sum.to_le_bytes());
+    let crc = checksum(&[low, high, kind], &out[start + FRAME_HEADER_BYTES..]);
+    out[start + 3..start + FRAME_HEADER_BYTES].copy_from_slice(&crc.to_le_bytes());
     Ok(())
 }
 
+/// Returns the CRC-32C of a frame's length, kind and payload.
 fn checksum(head: &[u8], payload: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(head), payload)
 }
 
-/// Reads a segment's bytes as they come.
+/// Incremental decoder of one segment.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
-    /// Read so far, in `bytes`.
-    done: usize,
-    /// Bytes that were dropped from the front of `bytes`.
-    dropped: u64,
+    /// Number of bytes at the front of `bytes` that are decoded.
+    consumed: usize,
+    /// Number of bytes removed from the front of `bytes` so far.
+    discarded: u64,
     header: Option<Header>,
-    held: Option<Record>,
+    /// A record that was put back, returned by the next call.
+    pending: Option<Record>,
     damage: Option<Damage>,
-    /// Records of kinds that this program does not know.
-    pub unknown: u64,
+    /// Number of records skipped because this program does not know their kind.
+    pub unknown_records: u64,
 }
 
 impl Decoder {
-    /// A decoder at a segment's first byte.
+    /// Creates a decoder that expects a segment's first byte.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes more bytes.
+    /// Appends the segment's next bytes. Once damage was found, they are ignored.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.damage.is_some() {
             return;
         }
-        if self.done > 64 * 1024 {
-            self.bytes.drain(..self.done);
-            self.dropped += self.done as u64;
-            self.done = 0;
+        if self.consumed > 64 * 1024 {
+            self.bytes.drain(..self.consumed);
+            self.discarded += self.consumed as u64;
+            self.consumed = 0;
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The head, once it has been read.
+    /// Returns the header once it is decoded.
     pub fn header(&self) -> Option<&Header> {
         self.header.as_ref()
     }
 
-    /// What is wrong, as far as has been read.
+    /// Returns the damage found in the bytes decoded so far.
     pub fn damage(&self) -> Option<&Damage> {
         self.damage.as_ref()
     }
 
-    /// What is wrong if no more bytes come.
-    pub fn at_end(&self) -> Option<Damage> {
+    /// Returns the damage if the segment ends after the bytes fed so far.
+    pub fn damage_at_end(&self) -> Option<Damage> {
         match &self.damage {
             Some(damage) => Some(damage.clone()),
-            None if self.header.is_none() && self.done == self.bytes.len() && self.dropped == 0 => {
+            None if self.header.is_none() && self.consumed == self.bytes.len() && self.discarded == 0 => {
                 Some(Damage::Torn { at: 0 })
             }
-            None if self.done < self.bytes.len() => Some(Damage::Torn { at: self.place() }),
+            None if self.consumed < self.bytes.len() => Some(Damage::Torn { at: self.offset() }),
             None => None,
         }
     }
 
-    /// Gives a record again at the next call.
+    /// Makes the next call of [`Decoder::next_record`] return `record`.
     pub(crate) fn put_back(&mut self, record: Record) {
-        self.held = Some(record);
+        self.pending = Some(record);
     }
 
-    fn place(&self) -> u64 {
-        self.dropped + self.done as u64
+    /// Returns the offset of the next frame in the segment.
+    fn offset(&self) -> u64 {
+        self.discarded + self.consumed as u64
     }
 
-    fn broken(&mut self, damage: Damage) {
+    /// Ends the segment as damaged and releases the buffer.
+    fn fail(&mut self, damage: Damage) {
         self.damage = Some(damage);
         self.bytes = Vec::new();
-        self.done = 0;
+        self.consumed = 0;
     }
 
-    /// The next whole record; `None` if more bytes are needed or the segment is damaged from here on.
+    /// Returns the next record; `None` if more bytes are needed or the segment is damaged from here on.
     pub fn next_record(&mut self) -> Option<Record> {
-        if let Some(held) = self.held.take() {
-            return Some(held);
+        if let Some(pending) = self.pending.take() {
+            return Some(pending);
         }
-        if self.damage.is_some() || (self.header.is_none() && !self.read_head()) {
+        if self.damage.is_some() || (self.header.is_none() && !self.read_header()) {
             return None;
         }
         let base = self.header.as_ref()?.base;
         loop {
-            let at = self.place();
-            let (kind, payload) = match next_frame(&self.bytes[self.done..]) {
-                Next::Frame(kind, payload) => (kind, payload),
-                Next::Part => return None,
-                Next::Damaged => {
-                    self.broken(Damage::Frame { at });
+            let at = self.offset();
+            let (kind, payload) = match parse_frame(&self.bytes[self.consumed..]) {
+                ParsedFrame::Frame(kind, payload) => (kind, payload),
+                ParsedFrame::Incomplete => return None,
+                ParsedFrame::Corrupt => {
+                    self.fail(Damage::Frame { at });
                     return None;
                 }
             };
-            let read = Event::read(kind, payload);
-            self.done += FRAME_HEAD + payload.len();
-            match read {
-                // A later program of the same format may add kinds.
-                None => self.unknown += 1,
+            let decoded = Event::read(kind, payload);
+            self.consumed += FRAME_HEADER_BYTES + payload.len();
+            match decoded {
+                // Newer programs may add kinds without a new format version.
+                None => self.unknown_records += 1,
                 Some(Ok((time, event))) => {
                     return Some(Record { at: base + time as f64 / 1_000.0, event });
                 }
                 Some(Err(_)) => {
-                    self.broken(Damage::Frame { at });
+                    self.fail(Damage::Frame { at });
                     return None;
                 }
             }
         }
     }
 
-    fn read_head(&mut self) -> bool {
+    /// Decodes the header. Returns whether it is decoded; if not, more bytes are needed or it is damaged.
+    fn read_header(&mut self) -> bool {
         let magic = &self.bytes[..self.bytes.len().min(MAGIC.len())];
         if *magic != MAGIC[..magic.len()] {
-            self.broken(Damage::Foreign);
+            self.fail(Damage::Foreign);
             return false;
         }
-        let Some(&[low, high]) = self.bytes.get(MAGIC.len()..SEGMENT_HEAD) else { return false };
+        let Some(&[low, high]) = self.bytes.get(MAGIC.len()..SEGMENT_PREFIX_BYTES) else { return false };
         let format = u16::from_le_bytes([low, high]);
-        if format > FORMAT {
-            self.broken(Damage::Newer { format });
+        if format > FORMAT_VERSION {
+            self.fail(Damage::Newer { format });
             return false;
         }
-        match next_frame(&self.bytes[SEGMENT_HEAD..]) {
-            Next::Part => false,
-            Next::Frame(0, payload) if format == FORMAT => match postcard::from_bytes::<Header>(payload) {
-                Ok(header) if header.base.is_finite() => {
-                    self.done = SEGMENT_HEAD + FRAME_HEAD + payload.len();
-                    self.header = Some(header);
-                    true
+        match parse_frame(&self.bytes[SEGMENT_PREFIX_BYTES..]) {
+            ParsedFrame::Incomplete => false,
+            ParsedFrame::Frame(0, payload) if format == FORMAT_VERSION => {
+                match postcard::from_bytes::<Header>(payload) {
+                    Ok(header) if header.base.is_finite() => {
+                        self.consumed = SEGMENT_PREFIX_BYTES + FRAME_HEADER_BYTES + payload.len();
+                        self.header = Some(header);
+                        true
+                    }
+                    _ => {
+                        self.fail(Damage::Header);
+                        false
+                    }
                 }
-                _ => {
-                    self.broken(Damage::Header);
-                    false
-                }
-            },
+            }
             _ => {
-                self.broken(Damage::Header);
+                self.fail(Damage::Header);
                 false
             }
         }
     }
 }
 
-enum Next<'a> {
+/// The result of [`parse_frame`]: a complete frame's kind and payload, or why there is none.
+enum ParsedFrame<'a> {
     Frame(u8, &'a [u8]),
-    Part,
-    Damaged,
+    Incomplete,
+    Corrupt,
 }
 
-fn next_frame(bytes: &[u8]) -> Next<'_> {
-    let [low, high, kind, c0, c1, c2, c3, rest @ ..] = bytes else { return Next::Part };
+/// Parses the frame at the start of `bytes` and checks its checksum.
+fn parse_frame(bytes: &[u8]) -> ParsedFrame<'_> {
+    let [low, high, kind, c0, c1, c2, c3, rest @ ..] = bytes else { return ParsedFrame::Incomplete };
     let length = usize::from(u16::from_le_bytes([*low, *high]));
-    let Some(payload) = rest.get(..length) else { return Next::Part };
+    let Some(payload) = rest.get(..length) else { return ParsedFrame::Incomplete };
     if checksum(&bytes[..3], payload) != u32::from_le_bytes([*c0, *c1, *c2, *c3]) {
-        return Next::Damaged;
+        return ParsedFrame::Corrupt;
     }
-    Next::Frame(*kind, payload)
+    ParsedFrame::Frame(*kind, payload)
 }
--- a/crates/record/src/disk.rs
+++ b/crates/record/src/disk.rs
@@ -1,57 +1,57 @@
-//! The little of a file system that a folder of records needs.
+//! The file system calls that a folder of records needs.
 //!
-//! It is a trait so that tests can let each call fail: a full disk, a folder taken away, a torn write.
+//! They form a trait so that tests can make each call fail: a full disk, a removed folder, a torn write.
 
 use std::fs;
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// A file as a folder lists it.
+/// A file as listed in a folder.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
-    /// Where it stands.
+pub struct FileInfo {
+    /// Path of the file.
     pub path: PathBuf,
-    /// Its size in bytes.
+    /// Size in bytes.
     pub bytes: u64,
-    /// When it was last written.
-    pub written: SystemTime,
+    /// Time of the last write.
+    pub modified_at: SystemTime,
 }
 
-/// File system calls.
+/// File system calls made by a [`Writer`](crate::folder::Writer).
 pub trait Disk: Send {
-    /// A file that is written to.
+    /// A file open for writing.
     type File: Write + Send;
-    /// Begins a new file; an error if there is one of that name.
+    /// Creates a file and opens it for writing.
     ///
     /// # Errors
-    /// As the system says.
+    /// If the file exists already, or with the error of the file system.
     fn create(&mut self, path: &Path) -> io::Result<Self::File>;
     /// Opens a file for reading.
     ///
     /// # Errors
-    /// As the system says.
+    /// With the error of the file system.
     fn open(&mut self, path: &Path) -> io::Result<Box<dyn Read>>;
-    /// Gives a file another name, at once.
+    /// Renames a file atomically.
     ///
     /// # Errors
-    /// As the system says.
+    /// With the error of the file system.
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
     /// Removes a file.
     ///
     /// # Errors
-    /// As the system says.
+    /// With the error of the file system.
     fn remove(&mut self, path: &Path) -> io::Result<()>;
-    /// The files in a folder, in no order.
+    /// Lists the files in a folder, in no particular order.
     ///
     /// # Errors
-    /// As the system says.
-    fn list(&mut self, folder: &Path) -> io::Result<Vec<Listed>>;
-    /// Whether a file is still there under its name.
+    /// With the error of the file system.
+    fn list(&mut self, folder: &Path) -> io::Result<Vec<FileInfo>>;
+    /// Returns whether a file still exists under its path.
     fn exists(&mut self, path: &Path) -> bool;
 }
 
-/// The host's.
+/// The host's file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealDisk;
 
@@ -74,15 +74,15 @@
         fs::remove_file(path)
     }
 
-    fn list(&mut self, folder: &Path) -> io::Result<Vec<Listed>> {
+    fn list(&mut self, folder: &Path) -> io::Result<Vec<FileInfo>> {
         let mut files = Vec::new();
         for entry in fs::read_dir(folder)? {
             let entry = entry?;
-            // One may be taken away between the two calls.
-            let Ok(about) = entry.metadata() else { continue };
-            if about.is_file() {
-                let written = about.modified().unwrap_or(SystemTime::UNIX_EPOCH);
-                files.push(Listed { path: entry.path(), bytes: about.len(), written });
+            // A file may be removed between the two calls: skip it.
+            let Ok(metadata) = entry.metadata() else { continue };
+            if metadata.is_file() {
+                let modified_at = metadata.modified().unwrap_or(SystemTime::UNIX_EPOCH);
+                files.push(FileInfo { path: entry.path(), bytes: metadata.len(), modified_at });
             }
         }
         Ok(files)
--- a/crates/record/src/folder.rs
+++ b/crates/record/src/folder.rs
@@ -1,11 +1,12 @@
 //! A folder of segments: written by one [`Writer`], read by any number of [`Folder`]s and [`Tail`]s.
 //!
-//! Segments are numbered on and on, over restarts as well. The newest is plain, so that all but its last bytes can be
-//! read after a crash; a full one is packed with zstd under another name, put in place at once, and the plain one
-//! removed. The oldest are removed as size and age ask. A folder belongs to one node.
+//! Sequence numbers of segments keep increasing across restarts. The newest segment is uncompressed, so that
+//! all but its last bytes can be read after a crash. A full segment is sealed: it is compressed with zstd
+//! into a partial file, which is renamed atomically, and the uncompressed file is removed. The oldest
+//! segments are removed when the limits of total size or age are exceeded. A folder belongs to one node.
 
 use crate::codec::{Damage, Decoder, Encoder, Header};
-use crate::disk::{Disk, Listed, RealDisk};
+use crate::disk::{Disk, FileInfo, RealDisk};
 use crate::record::{Event, Gap, Member, MemberId, Phase, Record};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -15,32 +16,38 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-const PLAIN: &str = ".rec";
-const PACKED: &str = ".rec.zst";
-const BEGUN: &str = ".begun";
-/// A reader takes no more than this of one segment: guards against files that unpack without end.
-pub const MOST_SEGMENT: u64 = 256 << 20;
-/// Bytes gathered before they are written.
-const WRITE: usize = 64 * 1024;
-/// After an error of the disk it is tried again so much later.
-const RETRY_MS: f64 = 1_000.0;
-/// How often the open segment is looked for and old ones are removed.
-const LOOK_MS: f64 = 1_000.0;
-const TIDY_MS: f64 = 60_000.0;
-/// Members that are written again at the head of a segment, at most.
-const MOST_MEMBERS: usize = 100_000;
-/// Packing needs memory for its window: 128 KiB of it, so that a small node can bear it.
-const WINDOW_LOG: u32 = 17;
-const LEVEL: i32 = 1;
-
-/// How much is kept.
+/// Suffix of an uncompressed segment.
+const PLAIN_SUFFIX: &str = ".rec";
+/// Suffix of a sealed segment.
+const COMPRESSED_SUFFIX: &str = ".rec.zst";
+/// Suffix of a file that is being compressed.
+const PARTIAL_SUFFIX: &str = ".begun";
+/// Maximum number of bytes that a reader takes from one segment. Guards against files that decompress without
+/// end.
+pub const MAX_SEGMENT_READ_BYTES: u64 = 256 << 20;
+/// Number of encoded bytes at which the buffer is written to the file.
+const WRITE_BUFFER_BYTES: usize = 64 * 1024;
+/// Delay after a file system error before a new segment is tried.
+const DISK_RETRY_MS: f64 = 1_000.0;
+/// Interval at which the writer checks that the open segment still exists.
+const FILE_CHECK_INTERVAL_MS: f64 = 1_000.0;
+/// Interval at which old segments are removed, beside each time that a segment is sealed.
+const CLEANUP_INTERVAL_MS: f64 = 60_000.0;
+/// Maximum number of members that are repeated at the head of each segment.
+const MAX_REPEATED_MEMBERS: usize = 100_000;
+/// Base-2 logarithm of the compression window. 128 KiB keeps the memory for compression small enough for a
+/// small node.
+const ZSTD_WINDOW_LOG: u32 = 17;
+const ZSTD_LEVEL: i32 = 1;
+
+/// Limits on segment size, total size and age of the records in a folder.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Keep {
-    /// A segment is sealed once it has so many bytes.
+    /// Number of record bytes at which a segment is sealed.
     pub segment_bytes: u64,
-    /// The oldest are removed while all together have more.
+    /// Maximum total size in bytes. While the segments exceed it, the oldest are removed.
     pub keep_bytes: u64,
-    /// Those last written longer ago are removed.
+    /// Maximum time since the last write to a segment. Older segments are removed.
     pub keep_for: Duration,
 }
 
@@ -50,99 +57,109 @@
     }
 }
 
-/// What a writer has to say to whom it may concern; nothing of it stops the node.
+/// Change in a writer's condition, for the log. No notice stops the node.
 #[derive(Debug)]
 pub enum Notice {
-    /// Records are lost from now on.
+    /// A write failed. Records are lost until writing succeeds again.
     Failing(io::Error),
-    /// Records are written again; so many were lost.
+    /// Records are written again. Holds the number of records lost in between.
     Recovered(u64),
-    /// A segment could not be packed, or an old one not be removed; it stays.
+    /// A segment could not be compressed, or an old segment could not be removed. The file stays.
     Untidy(PathBuf, io::Error),
 }
 
-struct Open<F> {
+/// The segment that is being written.
+struct OpenSegment<F> {
     file: F,
     path: PathBuf,
     encoder: Encoder,
-    /// Bytes of records; its head, which grows with the pool, does not count.
-    bytes: u64,
+    /// Bytes of records written. The segment's head, which grows with the pool, is not counted.
+    record_bytes: u64,
 }
 
 /// Writes records into a folder.
 pub struct Writer<D: Disk = RealDisk> {
     disk: D,
     folder: PathBuf,
-    keep: Keep,
+    retention: Keep,
     header: Header,
-    open: Option<Open<D::File>>,
+    open: Option<OpenSegment<D::File>>,
+    /// Members repeated at the head of the next segment.
     members: BTreeMap<MemberId, Member>,
+    /// Lost records that no gap record tells of yet.
     gap: Option<Gap>,
+    /// Whether the last write failed and [`Notice::Failing`] was raised for it.
     failing: bool,
     retry_at: f64,
-    look_at: f64,
-    tidy_at: f64,
+    check_file_at: f64,
+    cleanup_at: f64,
+    /// Encoded records that are not written yet.
     buffer: Vec<u8>,
-    buffered: u64,
+    buffered_records: u64,
     notices: VecDeque<Notice>,
+    /// Total number of lost records.
     lost: u64,
 }
 
 impl<D: Disk> Writer<D> {
-    /// Begins a segment in the folder. The header's sequence is set here.
+    /// Opens a new segment in the folder and removes what a crash left there. Sets the header's sequence
+    /// number.
     ///
     /// # Errors
-    /// If the folder is not there or can't be written to.
-    pub fn new(mut disk: D, folder: &Path, keep: Keep, mut header: Header) -> io::Result<Self> {
+    /// If the folder does not exist or can't be written to.
+    pub fn new(mut disk: D, folder: &Path, retention: Keep, mut header: Header) -> io::Result<Self> {
         let files = disk.list(folder)?;
         for file in &files {
-            let text = file.path.to_string_lossy();
-            // Left by a crash: what was being packed stands beside it whole, or the plain one beside the packed.
-            let twice = || files.iter().any(|other| other.path == packed(&file.path));
-            if text.ends_with(BEGUN) || (text.ends_with(PLAIN) && twice()) {
+            let path_text = file.path.to_string_lossy();
+            // Remove what a crash left: a partial file, whose uncompressed segment is complete, or an
+            // uncompressed segment whose compressed file is complete.
+            let has_compressed = || files.iter().any(|other| other.path == compressed_path(&file.path));
+            if path_text.ends_with(PARTIAL_SUFFIX) || (path_text.ends_with(PLAIN_SUFFIX) && has_compressed())
+            {
                 let _ = disk.remove(&file.path);
             }
         }
-        header.sequence = files.iter().filter_map(|file| sequence(&file.path)).max().unwrap_or(0) + 1;
+        header.sequence = files.iter().filter_map(|file| parse_sequence(&file.path)).max().unwrap_or(0) + 1;
         let now = header.base;
         let mut writer = Writer {
             disk,
             folder: folder.to_owned(),
-            keep,
+            retention,
             header,
             open: None,
             members: BTreeMap::new(),
             gap: None,
             failing: false,
             retry_at: f64::NEG_INFINITY,
-            look_at: now + LOOK_MS,
-            tidy_at: now + TIDY_MS,
-            buffer: Vec::with_capacity(WRITE),
-            buffered: 0,
+            check_file_at: now + FILE_CHECK_INTERVAL_MS,
+            cleanup_at: now + CLEANUP_INTERVAL_MS,
+            buffer: Vec::with_capacity(WRITE_BUFFER_BYTES),
+            buffered_records: 0,
             notices: VecDeque::new(),
             lost: 0,
         };
-        writer.begin(now, now)?;
-        writer.tidy(now);
+        writer.open_segment(now, now)?;
+        writer.remove_old_segments(now);
         Ok(writer)
     }
 
-    /// What it has to say since it was last asked.
+    /// Takes the oldest pending notice.
     pub fn notice(&mut self) -> Option<Notice> {
         self.notices.pop_front()
     }
 
-    /// Records lost so far, to the disk or before they came here.
+    /// Total number of records lost so far, because of the disk or before they reached the writer.
     pub fn lost(&self) -> u64 {
         self.lost
     }
 
-    /// Records were lost before they came here; the next ones written say so.
+    /// Counts records that were lost before they reached the writer, the first at the time `since`. A gap
+    /// record before the next records reports them.
     pub fn missed(&mut self, records: u64, since: f64) {
-        self.note_loss(records, since, false);
+        self.count_lost(records, since, false);
     }
 
-    fn note_loss(&mut self, records: u64, since: f64, disk: bool) {
+    fn count_lost(&mut self, records: u64, since: f64, disk: bool) {
         if records > 0 {
             self.lost += records;
             let gap = self.gap.get_or_insert(Gap { lost: 0, since, disk });
@@ -151,78 +168,83 @@
         }
     }
 
-    /// Writes records, in the order of their times. `now` is the node's clock and `wall` the host's. What can't be
-    /// written is counted, and told in a gap record once it can be again.
+    /// Writes records, which are in the order of their times. `now` is the time on the node's clock and
+    /// `wall` that on the host's. Records that can't be written are counted; a gap record reports them once
+    /// writing succeeds.
     pub fn write(&mut self, now: f64, wall: f64, records: &[Record]) {
         let first = records.first().map_or(now, |record| record.at);
-        if self.open.is_some() && now >= self.look_at {
-            self.look_at = now + LOOK_MS;
+        if self.open.is_some() && now >= self.check_file_at {
+            self.check_file_at = now + FILE_CHECK_INTERVAL_MS;
             if !self.open.as_ref().is_some_and(|open| self.disk.exists(&open.path)) {
-                // The folder was removed, or moved away: what is written now would be seen by nobody.
-                let gone = io::Error::new(io::ErrorKind::NotFound, "the open segment was removed");
-                self.fail(now, first, 0, gone);
+                // The folder was removed or moved: nobody would see what is written to the open file.
+                let removed = io::Error::new(io::ErrorKind::NotFound, "the open segment was removed");
+                self.on_write_error(now, first, 0, removed);
             }
         }
         if self.open.is_none()
             && now >= self.retry_at
-            && let Err(error) = self.begin(first, wall)
+            && let Err(error) = self.open_segment(first, wall)
         {
-            self.fail(now, first, 0, error);
+            self.on_write_error(now, first, 0, error);
         }
         for record in records {
             if let Event::Member(member) = &record.event {
-                self.remember(member);
+                self.track_member(member);
             }
             let Some(open) = &self.open else {
-                self.note_loss(1, record.at, true);
+                self.count_lost(1, record.at, true);
                 continue;
             };
-            if open.encoder.record(record, &mut self.buffer).is_err() {
-                self.note_loss(1, record.at, false);
+            if open.encoder.encode_record(record, &mut self.buffer).is_err() {
+                self.count_lost(1, record.at, false);
                 continue;
             }
-            self.buffered += 1;
-            if self.buffer.len() >= WRITE {
+            self.buffered_records += 1;
+            if self.buffer.len() >= WRITE_BUFFER_BYTES {
                 self.flush(now, first);
             }
         }
         self.flush(now, first);
-        if self.open.as_ref().is_some_and(|open| open.bytes >= self.keep.segment_bytes) {
+        if self.open.as_ref().is_some_and(|open| open.record_bytes >= self.retention.segment_bytes) {
             self.seal();
-            if let Err(error) = self.begin(now, wall) {
-                self.fail(now, now, 0, error);
+            if let Err(error) = self.open_segment(now, wall) {
+                self.on_write_error(now, now, 0, error);
             }
-            self.tidy(now);
-        } else if now >= self.tidy_at {
-            self.tidy(now);
+            self.remove_old_segments(now);
+        } else if now >= self.cleanup_at {
+            self.remove_old_segments(now);
         }
     }
 
-    /// Keeps what a segment has to begin with.
-    fn remember(&mut self, member: &Member) {
+    /// Updates the members that are repeated at the head of each segment.
+    fn track_member(&mut self, member: &Member) {
         if member.phase == Phase::Gone {
             self.members.remove(&member.member);
-        } else if self.members.len() < MOST_MEMBERS || self.members.contains_key(&member.member) {
+        } else if self.members.len() < MAX_REPEATED_MEMBERS || self.members.contains_key(&member.member) {
             self.members.insert(member.member, Member { again: true, ..member.clone() });
         }
     }
 
-    fn begin(&mut self, base: f64, wall: f64) -> io::Result<()> {
+    /// Creates the next segment and writes its head: the header, the members and a gap record if records were
+    /// lost.
+    fn open_segment(&mut self, base: f64, wall: f64) -> io::Result<()> {
         (self.header.base, self.header.wall) = (base, wall);
         let mut bytes = Vec::new();
-        let too_long = |_| io::Error::other("the header or a member's name is too long for a segment");
-        let encoder = Encoder::begin(&self.header, &mut bytes).map_err(too_long)?;
+        let frame_too_long = |_| io::Error::other("the header or a member's name is too long for a segment");
+        let encoder = Encoder::begin_segment(&self.header, &mut bytes).map_err(frame_too_long)?;
         for member in self.members.values() {
             let record = Record { at: base, event: Event::Member(member.clone()) };
-            // One whose name fits no frame is left out: it must not keep all others from being recorded.
-            let _ = encoder.record(&record, &mut bytes);
+            // A member whose name does not fit in a frame is skipped, so that all others are still recorded.
+            let _ = encoder.encode_record(&record, &mut bytes);
         }
         let gap = self.gap.clone();
         if let Some(gap) = gap {
-            encoder.record(&Record { at: base, event: Event::Gap(gap) }, &mut bytes).map_err(too_long)?;
+            encoder
+                .encode_record(&Record { at: base, event: Event::Gap(gap) }, &mut bytes)
+                .map_err(frame_too_long)?;
         }
-        let path = self.folder.join(format!("records-{:08}{PLAIN}", self.header.sequence));
-        // The number is used up even if the next calls fail: a file may stand under it.
+        let path = self.folder.join(format!("records-{:08}{PLAIN_SUFFIX}", self.header.sequence));
+        // The number is not reused even if the next calls fail: a file of that name may exist.
         self.header.sequence += 1;
         let mut file = match self.disk.create(&path) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Err(error),
@@ -241,82 +263,88 @@
             self.notices.push_back(Notice::Recovered(gap.lost));
         }
         self.failing = false;
-        self.open = Some(Open { file, path, encoder, bytes: 0 });
+        self.open = Some(OpenSegment { file, path, encoder, record_bytes: 0 });
         Ok(())
     }
 
+    /// Writes the buffer to the open segment, behind a gap record if records were lost. `since` is the time
+    /// of that gap record and, if the write fails, of the loss.
     fn flush(&mut self, now: f64, since: f64) {
         if self.buffer.is_empty() {
             return;
         }
         let Some(open) = &mut self.open else { return };
-        // What was missed before these records came is told before them.
+        // Records lost before the buffered ones are reported before them.
         if let Some(gap) = &self.gap {
-            let mut told = Vec::with_capacity(64 + self.buffer.len());
+            let mut with_gap = Vec::with_capacity(64 + self.buffer.len());
             let record = Record { at: since, event: Event::Gap(gap.clone()) };
-            if open.encoder.record(&record, &mut told).is_ok() {
-                told.append(&mut self.buffer);
-                self.buffer = told;
+            if open.encoder.encode_record(&record, &mut with_gap).is_ok() {
+                with_gap.append(&mut self.buffer);
+                self.buffer = with_gap;
             }
         }
         match open.file.write_all(&self.buffer) {
             Ok(()) => {
-                open.bytes += self.buffer.len() as u64;
+                open.record_bytes += self.buffer.len() as u64;
                 self.gap = None;
             }
-            Err(error) => self.fail(now, since, self.buffered, error),
+            Err(error) => self.on_write_error(now, since, self.buffered_records, error),
         }
         self.buffer.clear();
-        self.buffered = 0;
+        self.buffered_records = 0;
     }
 
-    fn fail(&mut self, now: f64, since: f64, records: u64, error: io::Error) {
+    /// Closes the segment, counts `records` as lost from `since` on, and schedules the retry.
+    fn on_write_error(&mut self, now: f64, since: f64, records: u64, error: io::Error) {
         self.open = None;
-        self.retry_at = now + RETRY_MS;
-        self.note_loss(records, since, true);
+        self.retry_at = now + DISK_RETRY_MS;
+        self.count_lost(records, since, true);
         if !std::mem::replace(&mut self.failing, true) {
             self.notices.push_back(Notice::Failing(error));
         }
     }
 
-    /// Packs the open segment and puts the packed one in its place. If that fails the plain one stays.
+    /// Closes the open segment and replaces it with its compressed file. If that fails, the uncompressed file
+    /// stays.
     fn seal(&mut self) {
         let Some(open) = self.open.take() else { return };
         drop(open.file);
-        let begun = open.path.with_extension("rec.zst.begun");
-        if let Err(error) = self.pack(&open.path, &begun) {
-            let _ = self.disk.remove(&begun);
+        let partial = open.path.with_extension("rec.zst.begun");
+        if let Err(error) = self.compress(&open.path, &partial) {
+            let _ = self.disk.remove(&partial);
             self.notices.push_back(Notice::Untidy(open.path, error));
         }
     }
 
-    fn pack(&mut self, plain: &Path, begun: &Path) -> io::Result<()> {
-        let mut from = self.disk.open(plain)?;
-        let mut to = zstd::stream::write::Encoder::new(self.disk.create(begun)?, LEVEL)?;
-        to.window_log(WINDOW_LOG)?;
-        to.include_checksum(true)?;
-        io::copy(&mut from, &mut to)?;
-        to.finish()?.flush()?;
-        self.disk.rename(begun, &packed(plain))?;
+    /// Compresses `plain` into `partial`, renames the result into place and removes `plain`.
+    fn compress(&mut self, plain: &Path, partial: &Path) -> io::Result<()> {
+        let mut input = self.disk.open(plain)?;
+        let mut output = zstd::stream::write::Encoder::new(self.disk.create(partial)?, ZSTD_LEVEL)?;
+        output.window_log(ZSTD_WINDOW_LOG)?;
+        output.include_checksum(true)?;
+        io::copy(&mut input, &mut output)?;
+        output.finish()?.flush()?;
+        self.disk.rename(partial, &compressed_path(plain))?;
         self.disk.remove(plain)
     }
 
-    /// Removes the oldest segments as size and age ask; never the open one.
-    fn tidy(&mut self, now: f64) {
-        self.tidy_at = now + TIDY_MS;
+    /// Removes the oldest segments that exceed the limits of total size or age, but never the open one.
+    fn remove_old_segments(&mut self, now: f64) {
+        self.cleanup_at = now + CLEANUP_INTERVAL_MS;
         let Ok(files) = self.disk.list(&self.folder) else { return };
-        let mut files: Vec<(u64, Listed)> =
-            files.into_iter().filter_map(|file| Some((sequence(&file.path)?, file))).collect();
+        let mut files: Vec<(u64, FileInfo)> =
+            files.into_iter().filter_map(|file| Some((parse_sequence(&file.path)?, file))).collect();
         files.sort_by_key(|(sequence, _)| *sequence);
-        let mut all: u64 = files.iter().map(|(_, file)| file.bytes).sum();
+        let mut total_bytes: u64 = files.iter().map(|(_, file)| file.bytes).sum();
         for (_, file) in files {
             let open = self.open.as_ref().is_some_and(|open| open.path == file.path);
-            let old =
-                SystemTime::now().duration_since(file.written).is_ok_and(|age| age > self.keep.keep_for);
-            if open || !(old || all > self.keep.keep_bytes) {
+            let expired = SystemTime::now()
+                .duration_since(file.modified_at)
+                .is_ok_and(|age| age > self.retention.keep_for);
+            if open || !(expired || total_bytes > self.retention.keep_bytes) {
                 continue;
             }
-            all -= file.bytes;
+            total_bytes -= file.bytes;
             if let Err(error) = self.disk.remove(&file.path) {
                 self.notices.push_back(Notice::Untidy(file.path, error));
             }
@@ -324,34 +352,36 @@
     }
 }
 
-fn packed(plain: &Path) -> PathBuf {
+/// Returns the path of the sealed file of an uncompressed segment.
+fn compressed_path(plain: &Path) -> PathBuf {
     plain.with_extension("rec.zst")
 }
 
-fn sequence(path: &Path) -> Option<u64> {
+/// Returns the sequence number in the name of a segment's file; `None` for other files.
+fn parse_sequence(path: &Path) -> Option<u64> {
     let name = path.file_name()?.to_str()?.strip_prefix("records-")?;
-    name.strip_suffix(PACKED).or_else(|| name.strip_suffix(PLAIN))?.parse().ok()
+    name.strip_suffix(COMPRESSED_SUFFIX).or_else(|| name.strip_suffix(PLAIN_SUFFIX))?.parse().ok()
 }
 
-/// One segment's file.
+/// A segment's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Segment {
-    /// Its place in the folder.
+    /// Sequence number in the folder.
     pub sequence: u64,
-    /// Its file.
+    /// Path of the file.
     pub path: PathBuf,
-    /// Its size on the disk.
+    /// Size of the file in bytes.
     pub bytes: u64,
-    /// Whether it is sealed.
+    /// Whether the segment is sealed, that is compressed and complete.
     pub sealed: bool,
 }
 
-/// A folder's segments as they stood when it was listed.
+/// The segments of a folder at the time it was listed.
 #[derive(Clone, Debug)]
 pub struct Folder {
-    /// The folder.
+    /// Path of the folder.
     pub path: PathBuf,
-    /// Its segments, oldest first.
+    /// The segments, oldest first.
     pub segments: Vec<Segment>,
 }
 
@@ -359,44 +389,46 @@
     /// Lists a folder.
     ///
     /// # Errors
-    /// If it can't be listed.
+    /// If the folder can't be listed.
     pub fn list(path: &Path) -> io::Result<Folder> {
-        let about = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
+        let with_path =
+            |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
         let mut segments: BTreeMap<u64, Segment> = BTreeMap::new();
-        for file in RealDisk.list(path).map_err(about)? {
-            let Some(sequence) = sequence(&file.path) else { continue };
-            let sealed = file.path.to_string_lossy().ends_with(PACKED);
-            let found = Segment { sequence, bytes: file.bytes, path: file.path, sealed };
-            // Both stand there for a moment while a segment is sealed: the packed one is whole.
+        for file in RealDisk.list(path).map_err(with_path)? {
+            let Some(sequence) = parse_sequence(&file.path) else { continue };
+            let sealed = file.path.to_string_lossy().ends_with(COMPRESSED_SUFFIX);
+            let entry = Segment { sequence, bytes: file.bytes, path: file.path, sealed };
+            // While a segment is being sealed, both files exist for a moment: take the compressed one, which
+            // is complete.
             if sealed || !segments.contains_key(&sequence) {
-                segments.insert(sequence, found);
+                segments.insert(sequence, entry);
             }
         }
         Ok(Folder { path: path.to_owned(), segments: segments.into_values().collect() })
     }
 
-    /// Reads all segments, one after the other.
+    /// Returns a reader of all segments, oldest first.
     pub fn read(self) -> Reader {
-        Reader { segments: self.segments.into(), open: None, last: None }
+        Reader { segments: self.segments.into(), current: None, last_sequence: None }
     }
 }
 
-/// What is read from a folder, in order.
+/// Item read from a folder, in order.
 #[derive(Clone, Debug)]
 pub enum Item {
-    /// A segment begins.
+    /// A segment starts.
     Segment(Arc<Header>),
-    /// A record of the segment begun last.
+    /// A record of the segment that started last.
     Record(Record),
-    /// Something is damaged or missing here.
+    /// A segment is damaged, or segments before it are missing. Holds the segment's path.
     Damaged(PathBuf, Damage),
 }
 
-/// Reads a folder's segments in small pieces.
+/// Reads a folder's segments one after the other, in small chunks.
 pub struct Reader {
     segments: VecDeque<Segment>,
-    open: Option<Opened>,
-    last: Option<u64>,
+    current: Option<SegmentReader>,
+    last_sequence: Option<u64>,
 }
 
 impl Iterator for Reader {
@@ -404,52 +436,61 @@
 
     fn next(&mut self) -> Option<Item> {
         loop {
-            if let Some(open) = &mut self.open {
-                if let Some(item) = open.next() {
+            if let Some(current) = &mut self.current {
+                if let Some(item) = current.next() {
                     return Some(item);
                 }
-                self.open = None;
+                self.current = None;
             }
             let segment = self.segments.pop_front()?;
-            let before = self.last.replace(segment.sequence);
-            match Opened::new(&segment) {
-                Ok(opened) => self.open = Some(opened),
+            let previous = self.last_sequence.replace(segment.sequence);
+            match SegmentReader::new(&segment) {
+                Ok(segment_reader) => self.current = Some(segment_reader),
                 Err(error) => {
                     let error = error.to_string();
                     return Some(Item::Damaged(segment.path, Damage::Unreadable { error }));
                 }
             }
-            if let Some(missing) = before.map(|before| segment.sequence - before - 1).filter(|n| *n > 0) {
+            if let Some(missing) = previous.map(|previous| segment.sequence - previous - 1).filter(|n| *n > 0)
+            {
                 return Some(Item::Damaged(segment.path, Damage::Missing { segments: missing }));
             }
         }
     }
 }
 
-/// A segment that is being read.
-struct Opened {
-    from: Box<dyn Read>,
+/// Reads one segment.
+struct SegmentReader {
+    source: Box<dyn Read>,
     path: PathBuf,
     sealed: bool,
     decoder: Decoder,
-    began: bool,
+    header_returned: bool,
     ended: bool,
-    read: u64,
+    bytes_read: u64,
 }
 
-impl Opened {
-    fn new(segment: &Segment) -> io::Result<Opened> {
+impl SegmentReader {
+    fn new(segment: &Segment) -> io::Result<SegmentReader> {
         let file = File::open(&segment.path)?;
-        let from: Box<dyn Read> = if segment.sealed {
-            let mut unpack = zstd::stream::read::Decoder::new(file)?;
-            // Guards against files that ask for much memory to unpack.
-            unpack.window_log_max(24)?;
-            Box::new(unpack)
+        let source: Box<dyn Read> = if segment.sealed {
+            let mut decompressor = zstd::stream::read::Decoder::new(file)?;
+            // Guards against files that need much memory to decompress: the window is 16 MiB at most.
+            decompressor.window_log_max(24)?;
+            Box::new(decompressor)
         } else {
             Box::new(file)
         };
         let (path, sealed, decoder) = (segment.path.clone(), segment.sealed, Decoder::new());
-        Ok(Opened { from, path, sealed, decoder, began: false, ended: false, read: 0 })
+        Ok(SegmentReader {
+            source,
+            path,
+            sealed,
+            decoder,
+            header_returned: false,
+            ended: false,
+            bytes_read: 0,
+        })
     }
 
     fn damaged(&mut self, damage: Damage) -> Option<Item> {
@@ -457,19 +498,19 @@
         Some(Item::Damaged(self.path.clone(), damage))
     }
 
-    /// The next item; `None` at the end of the file.
+    /// Returns the next item; `None` at the end of the file.
     fn next(&mut self) -> Option<Item> {
-        let mut piece = [0; 16 * 1024];
+        let mut chunk = [0; 16 * 1024];
         while !self.ended {
             let record = self.decoder.next_record();
-            if !self.began
+            if !self.header_returned
                 && let Some(header) = self.decoder.header()
             {
-                self.began = true;
+                self.header_returned = true;
                 let header = Arc::new(header.clone());
-                // The record that came with it is given next.
+                // The first record was decoded by the same call; it is returned after the header.
                 if let Some(record) = record {
-                    return Some(self.keep(header, record));
+                    return Some(self.header_before(header, record));
                 }
                 return Some(Item::Segment(header));
             }
@@ -479,84 +520,86 @@
             if let Some(damage) = self.decoder.damage().cloned() {
                 return self.damaged(damage);
             }
-            if self.read >= MOST_SEGMENT {
-                return self.damaged(Damage::TooLarge { most: MOST_SEGMENT });
+            if self.bytes_read >= MAX_SEGMENT_READ_BYTES {
+                return self.damaged(Damage::TooLarge { most: MAX_SEGMENT_READ_BYTES });
             }
-            match self.from.read(&mut piece) {
+            match self.source.read(&mut chunk) {
                 Ok(0) => {
                     self.ended = true;
-                    let damage = self.decoder.at_end()?;
+                    let damage = self.decoder.damage_at_end()?;
                     return Some(Item::Damaged(self.path.clone(), damage));
                 }
                 Ok(count) => {
-                    self.read += count as u64;
-                    self.decoder.feed(&piece[..count]);
+                    self.bytes_read += count as u64;
+                    self.decoder.feed(&chunk[..count]);
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) if self.sealed => return self.damaged(Damage::Packed { at: self.read }),
+                Err(_) if self.sealed => return self.damaged(Damage::Packed { at: self.bytes_read }),
                 Err(error) => return self.damaged(Damage::Unreadable { error: error.to_string() }),
             }
         }
         None
     }
 
-    /// Gives the head first and holds the record back.
-    fn keep(&mut self, header: Arc<Header>, record: Record) -> Item {
+    /// Returns the header and puts the record back for the next call.
+    fn header_before(&mut self, header: Arc<Header>, record: Record) -> Item {
         self.decoder.put_back(record);
         Item::Segment(header)
     }
 }
 
-/// Follows a folder while a node writes to it, over restarts of the node.
+/// Follows a folder while a node writes to it, also across restarts of the node.
 pub struct Tail {
     folder: PathBuf,
-    at: Option<(u64, Opened)>,
+    /// The segment being followed and its sequence number.
+    followed: Option<(u64, SegmentReader)>,
 }
 
 impl Tail {
-    /// Begins with the newest segment, or with the oldest.
+    /// Starts at the newest segment, or at the oldest if `from_oldest`.
     ///
     /// # Errors
     /// If the folder can't be listed.
     pub fn new(folder: &Path, from_oldest: bool) -> io::Result<Tail> {
         let listed = Folder::list(folder)?;
         let first = if from_oldest { listed.segments.first() } else { listed.segments.last() };
-        let at = match first {
-            Some(segment) => Some((segment.sequence, Opened::new(segment)?)),
+        let followed = match first {
+            Some(segment) => Some((segment.sequence, SegmentReader::new(segment)?)),
             None => None,
         };
-        Ok(Tail { folder: folder.to_owned(), at })
+        Ok(Tail { folder: folder.to_owned(), followed })
     }
 
-    /// What has come since, `most` items at a time; nothing if the folder is away just now.
-    pub fn poll(&mut self, most: usize) -> Vec<Item> {
+    /// Returns up to `max_items` of the items added since the last call, or more when it goes on to the next
+    /// segment: the rest of the old one is returned as a whole. Empty if the folder can't be listed just now.
+    pub fn poll(&mut self, max_items: usize) -> Vec<Item> {
         let mut items = Vec::new();
-        while items.len() < most {
-            if let Some((_, open)) = &mut self.at
-                && let Some(item) = open.follow()
+        while items.len() < max_items {
+            if let Some((_, reader)) = &mut self.followed
+                && let Some(item) = reader.follow()
             {
                 items.push(item);
                 continue;
             }
-            // At the end of what is written: another segment may have been begun.
+            // Nothing more in this segment: the writer may have opened another.
             let Ok(listed) = Folder::list(&self.folder) else { break };
-            let after = self.at.as_ref().map(|(sequence, _)| *sequence);
+            let after = self.followed.as_ref().map(|(sequence, _)| *sequence);
             let Some(next) = listed.segments.iter().find(|next| after.is_none_or(|at| next.sequence > at))
             else {
                 break;
             };
-            // What was written to the old one between the two looks comes first.
-            if let Some((_, open)) = &mut self.at {
-                while let Some(item) = open.follow() {
+            // Records may have been written to the old segment since it was last read: return them first.
+            if let Some((_, reader)) = &mut self.followed {
+                while let Some(item) = reader.follow() {
                     items.push(item);
                 }
-                if let Some(damage) = open.decoder.at_end().filter(|_| !open.ended) {
-                    items.push(Item::Damaged(open.path.clone(), damage));
+                if let Some(damage) = reader.decoder.damage_at_end().filter(|_| !reader.ended) {
+                    items.push(Item::Damaged(reader.path.clone(), damage));
                 }
             }
-            // It may have been sealed since the list was made: then the next look finds it.
-            match Opened::new(next) {
-                Ok(opened) => self.at = Some((next.sequence, opened)),
+            // If the segment was sealed since the folder was listed, the next call finds it.
+            match SegmentReader::new(next) {
+                Ok(segment_reader) => self.followed = Some((next.sequence, segment_reader)),
                 Err(_) => break,
             }
         }
@@ -564,10 +607,10 @@
     }
 }
 
-impl Opened {
-    /// As [`Opened::next`], but the end of the file is not taken for the end of the segment.
+impl SegmentReader {
+    /// Like [`SegmentReader::next`], but does not take the end of the file for the end of the segment.
     fn follow(&mut self) -> Option<Item> {
-        // Nothing is added to a sealed one: its end is its end.
+        // Nothing is appended to a sealed segment.
         if self.sealed {
             return self.next();
         }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,13 +1,13 @@
-//! What a hopmoor node records of itself, so that an incident can be read afterwards.
+//! Event log of a hopmoor node, for the analysis of incidents.
 //!
 //! - [`record`]: the records, as values; no I/O.
-//! - [`codec`]: header and frames, to bytes and back; no I/O, and no panic on any bytes.
-//! - [`disk`]: the little of a file system that a folder needs, so that tests can let it fail.
-//! - [`folder`]: segments written, sealed, kept and read again.
-//! - [`merge`]: the records of several nodes in the order of their times.
+//! - [`codec`]: encoding and decoding of headers and frames; no I/O, and no panic on any input.
+//! - [`disk`]: the file system calls that a folder needs, as a trait so that tests can make them fail.
+//! - [`folder`]: writes, seals, removes and reads the segments of a folder.
+//! - [`merge`]: merges the records of several nodes by time.
 //!
-//! It does not decide what a record means; that is for who reads them. `docs/records.md` tells the format and why
-//! it is so.
+//! The crate does not interpret records; its readers do. `docs/records.md` describes the format and the
+//! reasons for it.
 
 pub mod codec;
 pub mod disk;
@@ -15,7 +15,7 @@
 pub mod merge;
 pub mod record;
 
-pub use codec::{Damage, Decoder, Encoder, FORMAT, Header};
+pub use codec::{Damage, Decoder, Encoder, FORMAT_VERSION, Header};
 pub use disk::{Disk, RealDisk};
 pub use folder::{Folder, Keep, Tail, Writer};
 pub use merge::{Merged, Origin};
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -1,8 +1,9 @@
-//! The records of several nodes in the order of their times.
+//! Merges the records of several nodes by time.
 //!
-//! Within one folder the order is that in which it was written. A later run whose clock reads earlier than the run
-//! before it ended, as after the host's clock was set back, is shown that much later: nothing of a node is ever
-//! put before what it had already recorded, and the shift is told.
+//! Within one folder, records stay in the order in which they were written. If a run starts at an earlier
+//! time than the last record of the run before it, for example after the host's clock was set back, all its
+//! times are shifted forward by the difference. No record of a node is thus placed before one that the node
+//! wrote earlier. The shift is reported.
 
 use crate::codec::{Damage, Header};
 use crate::folder::{Folder, Item};
@@ -11,56 +12,62 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Which of the folders something is from.
+/// Index of the folder that a step comes from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 pub struct Origin(pub usize);
 
-/// What comes of a folder, on the common clock.
+/// Step in the merged records.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A run of a node begins, or its records go on after some were lost with a segment.
+    /// A run of a node starts.
     Run(Arc<Header>),
     /// A record.
     Record(Record),
-    /// Something is damaged or missing here.
+    /// A segment is damaged, or segments before it are missing. Holds the segment's path.
     Damaged(PathBuf, Damage),
-    /// The clock read earlier than before; what follows is shown so many milliseconds later.
+    /// The clock of the next run was behind the end of the last one. The times that follow are shifted
+    /// forward by this many milliseconds.
     Shifted(f64),
-    /// A run's records are over; it stands at their last, so that what other nodes saw next comes after it.
+    /// The records of a run end. The step has the time of the last of them, so that what other nodes saw next
+    /// comes after it.
     Over,
-    /// The folder's records end.
+    /// The records of a folder end.
     End,
 }
 
+/// A folder and the state of its clock.
 struct Source {
-    from: Box<dyn Iterator<Item = Item>>,
-    /// What comes next, each with its time.
-    next: VecDeque<(f64, Step)>,
-    run: Option<f64>,
-    shift: f64,
-    last: f64,
+    reader: Box<dyn Iterator<Item = Item>>,
+    /// The next steps, each with its time.
+    queue: VecDeque<(f64, Step)>,
+    /// Start time of the current run, which identifies the run.
+    run_started: Option<f64>,
+    /// Shift of the current run's times.
+    shift_ms: f64,
+    /// Shifted time of the last step that has a time of its own.
+    last_time: f64,
     ended: bool,
 }
 
-/// Merges the records of folders.
+/// Iterator over the merged steps of several folders, each with its origin and time.
 pub struct Merged {
     sources: Vec<Source>,
 }
 
 impl Merged {
-    /// Reads these folders, one of each node.
+    /// Merges these folders, one for each node.
     pub fn new(folders: Vec<Folder>) -> Merged {
         Merged::of(folders.into_iter().map(|folder| Box::new(folder.read()) as _).collect())
     }
 
-    /// Merges what is read elsewhere.
+    /// Merges the items of these readers, one for each node.
     pub fn of(readers: Vec<Box<dyn Iterator<Item = Item>>>) -> Merged {
-        let source = |from| Source {
-            from,
-            next: VecDeque::new(),
-            run: None,
-            shift: 0.0,
-            last: f64::NEG_INFINITY,
+        let source = |reader| Source {
+            reader,
+            queue: VecDeque::new(),
+            run_started: None,
+            shift_ms: 0.0,
+            last_time: f64::NEG_INFINITY,
             ended: false,
         };
         Merged { sources: readers.into_iter().map(source).collect() }
@@ -68,54 +75,55 @@
 }
 
 impl Source {
-    /// Makes the next step ready, if there is one.
+    /// Reads until the queue holds a step or the folder ends.
     fn fill(&mut self) {
-        while self.next.is_empty() && !self.ended {
-            // What has no time of its own stands where its folder had come to.
-            let time = if self.last.is_finite() { self.last } else { 0.0 };
-            match self.from.next() {
-                // A further segment of the same run changes nothing.
-                Some(Item::Segment(header)) if self.run == Some(header.started) => {}
+        while self.queue.is_empty() && !self.ended {
+            // A step without a time of its own takes the time of the last step of its folder.
+            let time = if self.last_time.is_finite() { self.last_time } else { 0.0 };
+            match self.reader.next() {
+                // Another segment of the same run is no step.
+                Some(Item::Segment(header)) if self.run_started == Some(header.started) => {}
                 Some(Item::Segment(header)) => {
-                    if self.run.replace(header.started).is_some() {
-                        self.next.push_back((time, Step::Over));
+                    if self.run_started.replace(header.started).is_some() {
+                        self.queue.push_back((time, Step::Over));
                     }
-                    self.shift = (self.last - header.base).max(0.0);
-                    if self.shift > 0.0 {
-                        self.next.push_back((time, Step::Shifted(self.shift)));
+                    self.shift_ms = (self.last_time - header.base).max(0.0);
+                    if self.shift_ms > 0.0 {
+                        self.queue.push_back((time, Step::Shifted(self.shift_ms)));
                     }
-                    self.last = header.base + self.shift;
-                    self.next.push_back((self.last, Step::Run(header)));
+                    self.last_time = header.base + self.shift_ms;
+                    self.queue.push_back((self.last_time, Step::Run(header)));
                 }
                 Some(Item::Record(record)) => {
-                    self.last = (record.at + self.shift).max(self.last);
-                    let event = shifted(record.event, self.shift);
-                    self.next.push_back((self.last, Step::Record(Record { at: self.last, event })));
+                    self.last_time = (record.at + self.shift_ms).max(self.last_time);
+                    let event = shift_times(record.event, self.shift_ms);
+                    self.queue
+                        .push_back((self.last_time, Step::Record(Record { at: self.last_time, event })));
                 }
                 Some(Item::Damaged(path, damage)) => {
-                    self.next.push_back((time, Step::Damaged(path, damage)));
+                    self.queue.push_back((time, Step::Damaged(path, damage)));
                 }
                 None => {
                     self.ended = true;
-                    if self.run.is_some() {
-                        self.next.push_back((time, Step::Over));
+                    if self.run_started.is_some() {
+                        self.queue.push_back((time, Step::Over));
                     }
-                    self.next.push_back((time, Step::End));
+                    self.queue.push_back((time, Step::End));
                 }
             }
         }
     }
 }
 
-/// Times within a record move with it.
-fn shifted(event: Event, by: f64) -> Event {
+/// Shifts the times within an event along with its record.
+fn shift_times(event: Event, by_ms: f64) -> Event {
     match event {
-        Event::Member(mut member) if by != 0.0 => {
-            member.born = member.born.map(|born| born + by);
+        Event::Member(mut member) if by_ms != 0.0 => {
+            member.born = member.born.map(|born| born + by_ms);
             Event::Member(member)
         }
         Event::Gap(mut gap) => {
-            gap.since += by;
+            gap.since += by_ms;
             Event::Gap(gap)
         }
         event => event,
@@ -127,16 +135,16 @@
 
     fn next(&mut self) -> Option<Self::Item> {
         let mut first: Option<(usize, f64)> = None;
-        for (at, source) in self.sources.iter_mut().enumerate() {
+        for (index, source) in self.sources.iter_mut().enumerate() {
             source.fill();
-            if let Some((time, _)) = source.next.front()
+            if let Some((time, _)) = source.queue.front()
                 && first.is_none_or(|(_, earliest)| *time < earliest)
             {
-                first = Some((at, *time));
+                first = Some((index, *time));
             }
         }
-        let (at, _) = first?;
-        let (time, step) = self.sources[at].next.pop_front()?;
-        Some((Origin(at), time, step))
+        let (index, _) = first?;
+        let (time, step) = self.sources[index].queue.pop_front()?;
+        Some((Origin(index), time, step))
     }
 }
--- a/crates/record/src/record.rs
+++ b/crates/record/src/record.rs
@@ -1,16 +1,20 @@
-//! The records, as values. Times are Unix milliseconds on the node's own clock, which only goes forward within one
-//! run of the node; spans are milliseconds; loads are parts of a member's capacity.
+//! The records, as values.
 //!
-//! The numbers of the kinds are the format: a new kind takes a new number, and none is ever used again for another.
+//! Times are in Unix milliseconds on the node's clock, which is monotonic within one run of the node.
+//! Durations are in milliseconds. Loads are fractions of a member's capacity.
+//!
+//! The numbers of the kinds are part of the format: a new kind takes a new number, and no number is ever
+//! reused for another kind.
 
 use serde::{Deserialize, Serialize};
 
-/// A member's number: the same at every node, and after a restart.
+/// Identifier of a member, the same at every node and after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 pub struct MemberId(#[serde(with = "postcard::fixint::le")] pub u64);
 
 impl Serialize for MemberId {
-    /// Eight bytes in segments, since numbers are hashes; a number where people read it.
+    /// Writes eight bytes in segments, since the identifiers are hashes and a varint would save nothing, and
+    /// a number in formats for people.
     fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         if to.is_human_readable() {
             to.serialize_u64(self.0)
@@ -20,128 +24,132 @@
     }
 }
 
-/// A transaction's number within one run of its node.
+/// Identifier of a transaction within one run of its node.
 pub type TransactionId = u64;
 
-/// Something that happened, and when.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// When, in Unix milliseconds on the node's clock.
+    /// Time of the event, in Unix milliseconds on the node's clock.
     pub at: f64,
-    /// What.
+    /// The event.
     pub event: Event,
 }
 
 macro_rules! events {
-    ($($(#[doc = $doc:literal])* $number:literal $name:ident $word:literal),* $(,)?) => {
-        /// What can happen.
+    ($($(#[doc = $doc:literal])* $number:literal $name:ident $kind:literal),* $(,)?) => {
+        /// The kinds of events, each with its fields.
         #[derive(Clone, Debug, PartialEq)]
         pub enum Event { $($(#[doc = $doc])* $name($name)),* }
 
         impl Event {
-            /// Names of all kinds, as exports and filters give them.
-            pub const KINDS: &'static [&'static str] = &[$($word),*];
+            /// Names of all kinds, as used in exports and filters.
+            pub const KINDS: &'static [&'static str] = &[$($kind),*];
 
-            /// The number of its kind in the format.
+            /// Returns the number of the event's kind in the format.
             pub fn kind(&self) -> u8 {
                 match self { $(Event::$name(_) => $number),* }
             }
 
-            /// The name of its kind.
+            /// Returns the name of the event's kind.
             pub fn name(&self) -> &'static str {
-                match self { $(Event::$name(_) => $word),* }
+                match self { $(Event::$name(_) => $kind),* }
             }
 
+            /// Appends the time `at` and the event's fields to `out`.
             pub(crate) fn write(&self, at: u64, out: Vec<u8>) -> Result<Vec<u8>, postcard::Error> {
-                match self { $(Event::$name(what) => postcard::to_extend(&(at, what), out)),* }
+                match self { $(Event::$name(fields) => postcard::to_extend(&(at, fields), out)),* }
             }
 
-            /// `None` if the kind is not known to this program.
+            /// Decodes a time and an event of this kind; `None` if this program does not know the kind.
             pub(crate) fn read(kind: u8, bytes: &[u8]) -> Option<Result<(u64, Event), postcard::Error>> {
                 match kind {
-                    $($number => Some(postcard::from_bytes::<(u64, $name)>(bytes).map(|(at, what)| (at, Event::$name(what)))),)*
+                    $($number => Some(
+                        postcard::from_bytes::<(u64, $name)>(bytes)
+                            .map(|(at, fields)| (at, Event::$name(fields))),
+                    ),)*
                     _ => None,
                 }
             }
         }
 
         impl Serialize for Event {
-            /// The fields alone; the kind stands beside them in exports.
+            /// Writes the fields only; exports write the kind beside them.
             fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                match self { $(Event::$name(what) => what.serialize(to)),* }
+                match self { $(Event::$name(fields) => fields.serialize(to)),* }
             }
         }
 
         $(impl From<$name> for Event {
-            fn from(what: $name) -> Self { Event::$name(what) }
+            fn from(fields: $name) -> Self { Event::$name(fields) }
         })*
     };
 }
 
 events! {
-    /// The node has started.
+    /// The node started.
     1 Started "started",
-    /// The node has ended in good order: nothing follows in its run.
+    /// The node shut down gracefully. It is the last record of a run.
     2 Stopped "stopped",
-    /// The node was told to end and moves its clients.
+    /// The node was told to shut down and moves its clients.
     3 Leaving "leaving",
-    /// A configuration or an inventory was read anew.
+    /// A configuration or an inventory was reloaded.
     4 Reloaded "reloaded",
-    /// A member as the pool lists it; written at the head of each segment again.
+    /// A member as listed in the pool. Repeated at the head of each segment.
     5 Member "member",
-    /// What the node holds of a member, and believes of it.
+    /// The node's view of a member: its connections there, and its estimates of the member's state.
     6 View "view",
-    /// A probe has ended.
+    /// A probe ended.
     7 Probed "probed",
-    /// A server-side flow has ended, or a standing connection.
+    /// An attempt (a server-side flow) or an established connection ended.
     8 Flow "flow",
-    /// A client has asked.
+    /// A client made a request.
     9 Asked "asked",
-    /// A client has its final answer.
+    /// A client's request got its final answer.
     10 Answered "answered",
-    /// A client was told to come again.
+    /// A client was told to reconnect.
     11 Moved "moved",
-    /// A tenant's figures at the end of an interval.
+    /// The load, budget and connections of a tenant at the end of an interval.
     12 Tenant "tenant",
-    /// The node's counters.
+    /// The values of the node's counters.
     13 Counters "counters",
     /// Records were lost before this one.
     14 Gap "gap",
-    /// Messages at a member take long, or no longer do.
+    /// The message delay at a member became long, or is no longer so.
     15 Delay "delay",
-    /// The node's own words on something that should not be.
+    /// The node reports an internal fault.
     16 Fault "fault",
-    /// Discovery could not be asked.
+    /// A call to discovery failed.
     17 Blind "blind",
-    /// Another node of the fleet came, went or came again, as this one sees it.
+    /// Another node of the fleet joined, left, failed or came back, as this node sees it.
     18 Neighbour "neighbour",
 }
 
 /// See [`Event::Started`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Started {
-    /// Members on the list that it started with.
+    /// Number of members on the list that the node started with.
     pub members: u32,
 }
 
 /// See [`Event::Stopped`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stopped {
-    /// Transactions that were still open.
+    /// Number of transactions that were still open.
     pub left_behind: u32,
 }
 
 /// See [`Event::Leaving`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Leaving {
-    /// Transactions that are open.
+    /// Number of open transactions.
     pub transactions: u32,
 }
 
 /// See [`Event::Reloaded`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reloaded {
-    /// Whether it was taken; a bad one changes nothing.
+    /// Whether the new settings were applied. Invalid ones change nothing.
     pub taken: bool,
 }
 
@@ -149,122 +157,122 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It takes new work.
+    /// The member takes new work.
     Serving,
-    /// It takes nothing new and will end.
+    /// The member takes no new work and will shut down.
     Draining,
-    /// It is no longer listed, or listed as ended.
+    /// The member is no longer listed, or is listed as gone.
     Gone,
 }
 
 /// See [`Event::Member`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its number.
+    /// Identifier of the member.
     pub member: MemberId,
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its state.
+    /// Listed state.
     pub phase: Phase,
-    /// Its zone: a place in the header's zones, or one past them for a zone that is not configured.
+    /// Zone, as an index into the header's zones; one past the last for a zone that is not configured.
     pub zone: u32,
     /// Listed weight.
     pub weight: f32,
-    /// When it last started, in Unix milliseconds; none if long past.
+    /// Time of the member's last start, in Unix milliseconds; none if long past.
     pub born: Option<f64>,
-    /// Whether it stands here only because a segment begins.
+    /// Whether this record only repeats the member at the head of a segment.
     pub again: bool,
 }
 
 /// See [`Event::View`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// Which member.
+    /// Identifier of the member.
     pub member: MemberId,
-    /// Connections of this node there.
+    /// Number of this node's connections and attempts at the member.
     pub open: u32,
-    /// Its last report: load over capacity, and the report's age.
+    /// Last reported load divided by capacity, and the report's age in milliseconds.
     pub report: Option<(f32, f32)>,
-    /// How long a message takes there, as last told.
+    /// Last reported message delay at the member.
     pub message_ms: Option<f32>,
-    /// Load over capacity at its last trouble, as far as that still counts against it.
+    /// Load divided by capacity at the member's last trouble, as far as it still counts against the member.
     pub trouble: f32,
-    /// Part of its listed weight that it has now: less while cold, loaded or in trouble.
+    /// Fraction of the listed weight that the member has now: less while it is cold, loaded or in trouble.
     pub weight: f32,
-    /// Part warmed up, from 0 to 1.
+    /// Progress of the slow start, from 0 to 1.
     pub warmth: f32,
-    /// For how long it is avoided still; 0 if it is not.
+    /// Remaining time for which the member is avoided; 0 if it is not avoided.
     pub avoided_ms: f32,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub fails: u32,
 }
 
-/// How an attempt, a connection or a probe ended.
+/// Outcome of an attempt, a connection or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// In good order.
+    /// Success, or a regular close.
     Ok,
-    /// Answered with an error.
+    /// The member answered with an error.
     Error,
-    /// Turned away for want of room.
+    /// The member rejected it for lack of capacity.
     Full,
-    /// No answer in time.
+    /// No answer within the time limit.
     TimedOut,
-    /// No connection.
+    /// The connection could not be established.
     Unreachable,
-    /// It broke.
+    /// The connection broke.
     Reset,
-    /// Given up by the node or the client.
+    /// The node or the client cancelled it.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
 }
 
 /// See [`Event::Probed`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Probed {
-    /// Which member.
+    /// Identifier of the member.
     pub member: MemberId,
-    /// How it ended.
+    /// Outcome.
     pub outcome: Outcome,
-    /// The load that it reports.
+    /// Reported load divided by capacity.
     pub load: Option<f32>,
-    /// How long a message takes there, as it reports.
+    /// Reported message delay at the member.
     pub message_ms: Option<f32>,
 }
 
 /// See [`Event::Flow`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Flow {
-    /// Whose.
+    /// Transaction that the attempt or connection belongs to.
     pub transaction: TransactionId,
-    /// At which member.
+    /// Member that it was sent to.
     pub member: MemberId,
-    /// How it ended.
+    /// Outcome.
     pub outcome: Outcome,
-    /// Whether it stood: then this is the end of a connection, not of an attempt.
+    /// Whether the connection was established: if so, this is the end of a connection, not of an attempt.
     pub stood: bool,
     /// Whether the client ended it.
     pub by_client: bool,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub took_ms: f32,
 }
 
 /// See [`Event::Asked`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Asked {
-    /// Its number.
+    /// Identifier of the transaction.
     pub transaction: TransactionId,
-    /// Its class: a place in the header's classes.
+    /// Class, as an index into the header's classes.
     pub class: u32,
-    /// Its tenant: a place in the header's tenants.
+    /// Tenant, as an index into the header's tenants.
     pub tenant: u32,
-    /// Whether its client has been here before, as far as its wire has it say so.
+    /// Whether the client has been here before, as far as its protocol lets it say so.
     pub coming: ArrivalKind,
-    /// Whether it stood at a member before this node began.
+    /// Whether the client was connected to a member before this node started.
     pub adopted: bool,
-    /// How long it may be kept waiting.
+    /// Maximum time that the request may wait.
     pub grace_ms: f32,
 }
 
@@ -272,149 +280,150 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ArrivalKind {
-    /// For the first time, or it does not say.
+    /// First request, or the client does not say.
     First,
-    /// It was turned away, or had no answer, and tries once more.
+    /// The client was rejected or got no answer, and tries again.
     Retry,
-    /// Its connection was moved or broke.
+    /// The client's connection was moved or broke.
     Return,
 }
 
-/// A final answer.
+/// Final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// A member serves it.
+    /// A member serves the client.
     Served,
-    /// It was rejected; the client may come again after so many milliseconds.
+    /// The request was rejected.
     Rejected {
-        /// How long it was told to stay away.
+        /// Time in milliseconds after which the client may try again.
         again_ms: f32,
     },
-    /// It failed.
+    /// The transaction failed.
     Failed(Failure),
-    /// The client left before it had an answer.
+    /// The client left before it got an answer.
     Left,
 }
 
-/// Why a transaction failed.
+/// Reason for the failure of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Failure {
-    /// The deadline came.
+    /// The deadline passed.
     Deadline,
-    /// The member that had begun to answer did not finish.
+    /// The member started to answer but did not finish.
     Broken,
-    /// The decision module gave it up.
+    /// The decision module gave the transaction up.
     GivenUp,
-    /// A connection from before could not be taken over.
+    /// A connection from before the node's start could not be adopted.
     NotAdopted,
-    /// Its name is in use.
+    /// The transaction's name is already in use.
     Duplicate,
 }
 
 /// See [`Event::Answered`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answered {
-    /// Which transaction.
+    /// Identifier of the transaction.
     pub transaction: TransactionId,
-    /// Its class.
+    /// Class, as an index into the header's classes.
     pub class: u32,
-    /// Its tenant.
+    /// Tenant, as an index into the header's tenants.
     pub tenant: u32,
     /// The answer.
     pub answer: Answer,
-    /// Time since it asked.
+    /// Time since the request.
     pub waited_ms: f32,
-    /// Server-side flows that were opened.
+    /// Number of server-side flows opened.
     pub flows: u32,
-    /// The last flow's member, if there was one.
+    /// Member of the last flow, if there was one.
     pub member: Option<MemberId>,
 }
 
-/// Why a client was told to come again.
+/// Reason for telling a client to reconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// Its member drains.
+    /// The client's member is draining.
     Draining,
-    /// Its member is gone.
+    /// The client's member is gone.
     Gone,
-    /// The node ends.
+    /// The node is shutting down.
     Leaving,
-    /// Its member is asked for more than it can do.
+    /// The client's member is overloaded.
     Relief,
-    /// Its member sent it away.
+    /// The client's member told it to reconnect.
     Member,
-    /// Its negotiation could not go on at its member.
+    /// The client's negotiation could not be continued at its member.
     Negotiation,
 }
 
 /// See [`Event::Moved`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Moved {
-    /// Which transaction.
+    /// Identifier of the transaction.
     pub transaction: TransactionId,
-    /// Away from which member.
+    /// Member that the client was moved away from.
     pub member: MemberId,
-    /// Why.
+    /// Reason for the move.
     pub reason: Reason,
-    /// How long it had stood; none if it had not.
+    /// Time for which the connection had been established; none if it was not.
     pub stood_ms: Option<f32>,
 }
 
 /// See [`Event::Tenant`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Which tenant.
+    /// Tenant, as an index into the header's tenants.
     pub tenant: u32,
-    /// What it asked for in the interval: open, queued and refused load.
+    /// Load that the tenant asked for in the interval: open, queued and refused.
     pub demand: f32,
-    /// What it is expected to ask for.
+    /// Load that the tenant is expected to ask for.
     pub forecast: f32,
-    /// What it may have.
+    /// Load that the tenant may use.
     pub budget: f32,
-    /// Connections that it may have.
+    /// Maximum number of connections.
     pub limit: u32,
-    /// Connections that it has.
+    /// Number of open connections.
     pub open: u32,
-    /// Transactions that wait in its queue.
+    /// Number of transactions waiting in the tenant's queue.
     pub queued: u32,
 }
 
 /// See [`Event::Counters`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Counters {
-    /// The host's clock, in Unix milliseconds: beside the record's own time it shows a clock that was set.
+    /// Time on the host's clock, in Unix milliseconds. Compared with the record's own time it shows that the
+    /// clock was set.
     pub wall: f64,
-    /// Their values, in the order of the header's names.
+    /// Values of the counters, in the order of the names in the header.
     pub values: Vec<u64>,
 }
 
 /// See [`Event::Gap`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gap {
-    /// How many records were lost.
+    /// Number of lost records.
     pub lost: u64,
-    /// When the first of them was made, in Unix milliseconds.
+    /// Time of the first lost record, in Unix milliseconds.
     pub since: f64,
-    /// Whether the disk was at fault; else too many came at once.
+    /// Whether the disk caused a loss; if not, too many records came at once.
     pub disk: bool,
 }
 
 /// See [`Event::Delay`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delay {
-    /// Which member.
+    /// Identifier of the member.
     pub member: MemberId,
-    /// How long a message takes there.
+    /// Time that a message takes at the member, in milliseconds.
     pub took_ms: f32,
 }
 
 /// See [`Event::Fault`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// What.
+    /// Description of the fault.
     pub what: String,
 }
 
@@ -422,25 +431,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Blind {}
 
-/// What is held of another node of the fleet.
+/// State of another node of the fleet, as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NeighbourState {
-    /// It is there.
+    /// The node is alive.
     Alive,
-    /// It was not heard of for too long.
+    /// The node was not heard from for too long.
     Dead,
-    /// It said that it goes.
+    /// The node announced that it leaves.
     Left,
 }
 
 /// See [`Event::Neighbour`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Neighbour {
-    /// The node.
+    /// Name of the node.
     pub name: String,
-    /// What is held of it now.
+    /// Its state now.
     pub state: NeighbourState,
-    /// Which coming of it.
+    /// Incarnation number of the node.
     pub incarnation: u64,
 }
--- a/crates/record/tests/damage.rs
+++ b/crates/record/tests/damage.rs
@@ -30,8 +30,8 @@
 
 fn segment(records: &[Record]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    let encoder = Encoder::begin(&header(1_000.0), &mut bytes).unwrap();
-    records.iter().for_each(|record| encoder.record(record, &mut bytes).unwrap());
+    let encoder = Encoder::begin_segment(&header(1_000.0), &mut bytes).unwrap();
+    records.iter().for_each(|record| encoder.encode_record(record, &mut bytes).unwrap());
     bytes
 }
 
@@ -41,7 +41,7 @@
         decoder.feed(piece);
         records.extend(std::iter::from_fn(|| decoder.next_record()));
     }
-    (records, decoder.at_end())
+    (records, decoder.damage_at_end())
 }
 
 fn read(folder: &Path) -> (Vec<Record>, Vec<Damage>) {
@@ -109,8 +109,8 @@
 #[test]
 fn a_damaged_segment_hides_neither_the_next_nor_that_it_is_damaged() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 150, ..Keep::default() };
-    let mut writer = Writer::new(RealDisk, folder.path(), keep, header(1_000.0)).unwrap();
+    let retention = Keep { segment_bytes: 150, ..Keep::default() };
+    let mut writer = Writer::new(RealDisk, folder.path(), retention, header(1_000.0)).unwrap();
     for n in 0..60 {
         writer.write(1_000.0 + n as f64, 0.0, &[asked(1_000.0 + n as f64, n)]);
     }
@@ -133,10 +133,10 @@
 #[test]
 fn a_restart_goes_on_in_a_new_segment_and_each_names_its_members() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 200, ..Keep::default() };
+    let retention = Keep { segment_bytes: 200, ..Keep::default() };
     for run in 0..3 {
         let began = 1_000.0 * f64::from(run + 1);
-        let mut writer = Writer::new(RealDisk, folder.path(), keep, header(began)).unwrap();
+        let mut writer = Writer::new(RealDisk, folder.path(), retention, header(began)).unwrap();
         writer.write(began, 0.0, &[member(began, 5, Phase::Serving), member(began, 6, Phase::Serving)]);
         writer.write(began + 1.0, 0.0, &[member(began + 1.0, 6, Phase::Gone), asked(began + 1.0, 1)]);
         for n in 0..20 {
@@ -157,15 +157,15 @@
 #[test]
 fn the_oldest_go_as_size_and_age_ask() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 300, keep_bytes: 1_500, ..Keep::default() };
-    let mut writer = Writer::new(RealDisk, folder.path(), keep, header(1_000.0)).unwrap();
+    let retention = Keep { segment_bytes: 300, keep_bytes: 1_500, ..Keep::default() };
+    let mut writer = Writer::new(RealDisk, folder.path(), retention, header(1_000.0)).unwrap();
     for n in 0..500 {
         writer.write(1_000.0 + n as f64, 0.0, &[asked(1_000.0 + n as f64, n)]);
     }
     let listed = Folder::list(folder.path()).unwrap().segments;
     let all: u64 = listed.iter().map(|segment| segment.bytes).sum();
     assert!(all < 2_200 && listed[0].sequence > 10, "{all} bytes from {}", listed[0].sequence);
-    let aged = Keep { keep_for: Duration::ZERO, ..keep };
+    let aged = Keep { keep_for: Duration::ZERO, ..retention };
     std::thread::sleep(Duration::from_millis(20));
     drop(Writer::new(RealDisk, folder.path(), aged, header(9_000.0)).unwrap());
     assert_eq!(Folder::list(folder.path()).unwrap().segments.len(), 1);
@@ -191,12 +191,12 @@
 #[test]
 fn a_tail_follows_sealing_and_restarts() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 400, ..Keep::default() };
+    let retention = Keep { segment_bytes: 400, ..Keep::default() };
     let mut seen = Vec::new();
     let mut tail = None;
     for run in 0..3u64 {
         let began = 1_000.0 + run as f64 * 1_000.0;
-        let mut writer = Writer::new(RealDisk, folder.path(), keep, header(began)).unwrap();
+        let mut writer = Writer::new(RealDisk, folder.path(), retention, header(began)).unwrap();
         let tail = tail.get_or_insert_with(|| Tail::new(folder.path(), true).unwrap());
         for n in 0..40 {
             writer.write(began, 0.0, &[asked(began + n as f64, run * 100 + n)]);
@@ -222,8 +222,8 @@
 #[test]
 fn a_tail_from_the_oldest_reads_through_sealed_segments() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 300, ..Keep::default() };
-    let mut writer = Writer::new(RealDisk, folder.path(), keep, header(1_000.0)).unwrap();
+    let retention = Keep { segment_bytes: 300, ..Keep::default() };
+    let mut writer = Writer::new(RealDisk, folder.path(), retention, header(1_000.0)).unwrap();
     let mut write = |n: u64| writer.write(1_000.0 + n as f64, 0.0, &[asked(1_000.0 + n as f64, n)]);
     (0..60).for_each(&mut write);
     assert!(Folder::list(folder.path()).unwrap().segments[0].sealed);
@@ -239,8 +239,8 @@
 #[test]
 fn a_large_pool_neither_churns_segments_nor_stops_the_recording() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 4_096, ..Keep::default() };
-    let mut writer = Writer::new(RealDisk, folder.path(), keep, header(1_000.0)).unwrap();
+    let retention = Keep { segment_bytes: 4_096, ..Keep::default() };
+    let mut writer = Writer::new(RealDisk, folder.path(), retention, header(1_000.0)).unwrap();
     let mut pool: Vec<_> = (0..2_000).map(|number| member(1_000.0, number, Phase::Serving)).collect();
     if let Event::Member(member) = &mut pool[7].event {
         member.name = "x".repeat(70_000);
--- a/crates/record/tests/full_disk.rs
+++ b/crates/record/tests/full_disk.rs
@@ -1,6 +1,6 @@
 //! A disk that fills, and a folder that is taken away: what is lost is counted and told, and recording goes on when
 //! it can.
-use hopmoor_record::disk::Listed;
+use hopmoor_record::disk::FileInfo;
 use hopmoor_record::folder::{Item, Notice};
 use hopmoor_record::*;
 use std::io::{self, Read, Write};
@@ -48,7 +48,7 @@
     fn remove(&mut self, path: &Path) -> io::Result<()> {
         RealDisk.remove(path)
     }
-    fn list(&mut self, folder: &Path) -> io::Result<Vec<Listed>> {
+    fn list(&mut self, folder: &Path) -> io::Result<Vec<FileInfo>> {
         RealDisk.list(folder)
     }
     fn exists(&mut self, path: &Path) -> bool {
