--- a/crates/record/src/disk.rs
+++ b/crates/record/src/disk.rs
@@ -79,10 +79,10 @@
         for entry in fs::read_dir(folder)? {
             let entry = entry?;
             // A file may be removed between the two calls: skip it.
-            let Ok(metadata) = entry.metadata() else { continue };
-            if metadata.is_file() {
-                let modified_at = metadata.modified().unwrap_or(SystemTime::UNIX_EPOCH);
-                files.push(FileInfo { path: entry.path(), bytes: metadata.len(), modified_at });
+            let Ok(file_metadata) = entry.metadata() else { continue };
+            if file_metadata.is_file() {
+                let modified_at = file_metadata.modified().unwrap_or(SystemTime::UNIX_EPOCH);
+                files.push(FileInfo { path: entry.path(), bytes: file_metadata.len(), modified_at });
             }
         }
         Ok(files)
--- a/crates/record/src/record.rs
+++ b/crates/record/src/record.rs
@@ -37,14 +37,14 @@
 }
 
 macro_rules! events {
-    ($($(#[doc = $doc:literal])* $number:literal $name:ident $kind:literal),* $(,)?) => {
+    ($($(#[doc = $doc:literal])* $number:literal $name:ident $kind_name:literal),* $(,)?) => {
         /// The kinds of events, each with its fields.
         #[derive(Clone, Debug, PartialEq)]
         pub enum Event { $($(#[doc = $doc])* $name($name)),* }
 
         impl Event {
             /// Names of all kinds, as used in exports and filters.
-            pub const KINDS: &'static [&'static str] = &[$($kind),*];
+            pub const KINDS: &'static [&'static str] = &[$($kind_name),*];
 
             /// Returns the number of the event's kind in the format.
             pub fn kind(&self) -> u8 {
@@ -53,7 +53,7 @@
 
             /// Returns the name of the event's kind.
             pub fn name(&self) -> &'static str {
-                match self { $(Event::$name(_) => $kind),* }
+                match self { $(Event::$name(_) => $kind_name),* }
             }
 
             /// Appends the time `at` and the event's fields to `out`.
--- a/crates/record/tests/damage.rs
+++ b/crates/record/tests/damage.rs
@@ -1,5 +1,5 @@
-//! What a crash, a bad disk or a stranger leaves in a folder: every whole record before the damage is read, the
-//! next segment is read again, and nothing panics.
+//! Folders damaged by a crash, a bad disk or foreign files: every complete record before the damage is read,
+//! reading goes on with the next segment, and nothing panics.
 use hopmoor_record::folder::Item;
 use hopmoor_record::*;
 use proptest::prelude::*;
@@ -35,10 +35,10 @@
     bytes
 }
 
-fn decode(bytes: &[u8], piece: usize) -> (Vec<Record>, Option<Damage>) {
+fn decode(bytes: &[u8], chunk_bytes: usize) -> (Vec<Record>, Option<Damage>) {
     let (mut decoder, mut records) = (Decoder::new(), Vec::new());
-    for piece in bytes.chunks(piece) {
-        decoder.feed(piece);
+    for chunk in bytes.chunks(chunk_bytes) {
+        decoder.feed(chunk);
         records.extend(std::iter::from_fn(|| decoder.next_record()));
     }
     (records, decoder.damage_at_end())
@@ -56,9 +56,10 @@
     (records, damages)
 }
 
-/// Killed at any byte of the last record: all before it are read, and the tail is told.
+/// A node killed while it writes a record leaves part of it, cut at any byte. All records before it are read,
+/// and the cut is reported.
 #[test]
-fn a_torn_tail_costs_the_torn_record_alone() {
+fn a_torn_last_record_loses_only_that_record() {
     let records: Vec<_> = (0..5).map(|n| asked(1_000.0 + n as f64, n)).collect();
     let (all, four) = (segment(&records), segment(&records[..4]));
     assert_eq!(decode(&all, 3), (records.clone(), None));
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_newer_format_and_foreign_bytes_are_refused_by_name() {
+fn a_newer_format_and_a_foreign_file_are_reported_as_such() {
     let mut bytes = segment(&[asked(1_000.0, 1)]);
     bytes[8] = 2;
     let (read, damage) = decode(&bytes, 10);
@@ -84,16 +85,19 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600), cut in 1usize..80) {
-        decode(&bytes, cut);
+    fn arbitrary_bytes_do_not_make_the_decoder_panic(
+        bytes in proptest::collection::vec(any::<u8>(), 0..600),
+        feed_bytes in 1usize..80,
+    ) {
+        decode(&bytes, feed_bytes);
         let mut framed = segment(&[]);
         framed.extend(&bytes);
-        decode(&framed, cut);
+        decode(&framed, feed_bytes);
     }
 
-    /// A record is read as it was written or not at all, and those before the flipped bit all are.
+    /// A record is read as it was written or not at all. All records before the flipped bit are read.
     #[test]
-    fn a_flipped_bit_never_makes_another_record(at in 0usize..2_000, bit in 0u8..8) {
+    fn a_flipped_bit_never_changes_a_record(at in 0usize..2_000, bit in 0u8..8) {
         let records: Vec<_> = (0..20u32).map(|n| asked(1_000.0 + f64::from(n), u64::from(n))).collect();
         let mut bytes = segment(&records);
         let at = at % bytes.len();
@@ -107,7 +111,7 @@
 }
 
 #[test]
-fn a_damaged_segment_hides_neither_the_next_nor_that_it_is_damaged() {
+fn a_damaged_segment_is_reported_and_the_next_ones_are_read() {
     let folder = tempfile::tempdir().unwrap();
     let retention = Keep { segment_bytes: 150, ..Keep::default() };
     let mut writer = Writer::new(RealDisk, folder.path(), retention, header(1_000.0)).unwrap();
@@ -131,7 +135,7 @@
 }
 
 #[test]
-fn a_restart_goes_on_in_a_new_segment_and_each_names_its_members() {
+fn a_restart_opens_a_new_segment_and_each_segment_lists_the_members() {
     let folder = tempfile::tempdir().unwrap();
     let retention = Keep { segment_bytes: 200, ..Keep::default() };
     for run in 0..3 {
@@ -145,17 +149,16 @@
     }
     let listed = Folder::list(folder.path()).unwrap();
     let last = Folder { segments: vec![listed.segments.last().unwrap().clone()], ..listed.clone() };
-    let again: Vec<_> =
+    let repeated: Vec<_> =
         last.read().filter(|item| matches!(item, Item::Record(r) if r.event.kind() == 5)).collect();
-    assert!(
-        matches!(&again[..], [Item::Record(Record { event: Event::Member(m), .. })] if m.name == "s-5" && m.again)
-    );
+    assert!(matches!(&repeated[..], [Item::Record(Record { event: Event::Member(entry), .. })]
+            if entry.name == "s-5" && entry.again));
     let runs = Merged::new(vec![listed]).filter(|(_, _, step)| matches!(step, merge::Step::Run(_))).count();
     assert_eq!(runs, 3);
 }
 
 #[test]
-fn the_oldest_go_as_size_and_age_ask() {
+fn the_oldest_segments_are_removed_by_size_and_age() {
     let folder = tempfile::tempdir().unwrap();
     let retention = Keep { segment_bytes: 300, keep_bytes: 1_500, ..Keep::default() };
     let mut writer = Writer::new(RealDisk, folder.path(), retention, header(1_000.0)).unwrap();
@@ -163,16 +166,20 @@
         writer.write(1_000.0 + n as f64, 0.0, &[asked(1_000.0 + n as f64, n)]);
     }
     let listed = Folder::list(folder.path()).unwrap().segments;
-    let all: u64 = listed.iter().map(|segment| segment.bytes).sum();
-    assert!(all < 2_200 && listed[0].sequence > 10, "{all} bytes from {}", listed[0].sequence);
-    let aged = Keep { keep_for: Duration::ZERO, ..retention };
+    let total_bytes: u64 = listed.iter().map(|segment| segment.bytes).sum();
+    assert!(
+        total_bytes < 2_200 && listed[0].sequence > 10,
+        "{total_bytes} bytes from {}",
+        listed[0].sequence
+    );
+    let no_age = Keep { keep_for: Duration::ZERO, ..retention };
     std::thread::sleep(Duration::from_millis(20));
-    drop(Writer::new(RealDisk, folder.path(), aged, header(9_000.0)).unwrap());
+    drop(Writer::new(RealDisk, folder.path(), no_age, header(9_000.0)).unwrap());
     assert_eq!(Folder::list(folder.path()).unwrap().segments.len(), 1);
 }
 
 #[test]
-fn a_clock_that_steps_back_never_turns_the_order_round() {
+fn a_clock_set_back_keeps_the_order_of_records() {
     let folder = tempfile::tempdir().unwrap();
     for began in [50_000.0, 20_000.0] {
         let mut writer = Writer::new(RealDisk, folder.path(), Keep::default(), header(began)).unwrap();
@@ -187,7 +194,7 @@
     assert_eq!(shift, Some(30_500.0));
 }
 
-/// A tail sees each record once, over sealing and over the restart of the node.
+/// A tail returns each record once, also when segments are sealed and the node restarts.
 #[test]
 fn a_tail_follows_sealing_and_restarts() {
     let folder = tempfile::tempdir().unwrap();
@@ -214,11 +221,11 @@
             seen.push(asked.transaction);
         }
     }
-    let wanted: Vec<u64> = (0..3).flat_map(|run| (0..40).map(move |n| run * 100 + n)).collect();
-    assert_eq!(seen, wanted);
+    let expected: Vec<u64> = (0..3).flat_map(|run| (0..40).map(move |n| run * 100 + n)).collect();
+    assert_eq!(seen, expected);
 }
 
-/// A tail that begins late finds sealed segments first, and goes on behind them.
+/// A tail that starts late reads the sealed segments first, then follows the open one.
 #[test]
 fn a_tail_from_the_oldest_reads_through_sealed_segments() {
     let folder = tempfile::tempdir().unwrap();
@@ -234,10 +241,11 @@
     assert_eq!(read(), 5);
 }
 
-/// Heads hold the whole pool: a large one must not have each batch begin a new segment. A name that fits no frame is
-/// left out and lets the rest be recorded.
+/// The head of a segment lists the whole pool. A large head must not count towards the size at which a
+/// segment is sealed, or each batch would open a new one. A member whose name does not fit in a frame is
+/// skipped, and the rest are recorded.
 #[test]
-fn a_large_pool_neither_churns_segments_nor_stops_the_recording() {
+fn a_large_pool_neither_churns_segments_nor_stops_recording() {
     let folder = tempfile::tempdir().unwrap();
     let retention = Keep { segment_bytes: 4_096, ..Keep::default() };
     let mut writer = Writer::new(RealDisk, folder.path(), retention, header(1_000.0)).unwrap();
--- a/crates/record/tests/full_disk.rs
+++ b/crates/record/tests/full_disk.rs
@@ -1,5 +1,5 @@
-//! A disk that fills, and a folder that is taken away: what is lost is counted and told, and recording goes on when
-//! it can.
+//! Recording with a full disk or a removed folder: lost records are counted and reported, and recording
+//! resumes once writing succeeds.
 use hopmoor_record::disk::FileInfo;
 use hopmoor_record::folder::{Item, Notice};
 use hopmoor_record::*;
@@ -8,23 +8,24 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, Ordering::Relaxed};
 
-/// A disk with so many bytes left.
+/// A disk with a limited number of bytes left.
 #[derive(Clone)]
-struct Small(Arc<AtomicI64>);
+struct LimitedDisk(Arc<AtomicI64>);
 
-struct Limited {
+/// A file on a [`LimitedDisk`].
+struct LimitedFile {
     file: std::fs::File,
     left: Arc<AtomicI64>,
 }
 
-impl Write for Limited {
+impl Write for LimitedFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let left = self.left.load(Relaxed).max(0) as usize;
-        let part = left.min(bytes.len());
-        if part == 0 && !bytes.is_empty() {
+        let writable = left.min(bytes.len());
+        if writable == 0 && !bytes.is_empty() {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let written = self.file.write(&bytes[..part])?;
+        let written = self.file.write(&bytes[..writable])?;
         self.left.fetch_sub(written as i64, Relaxed);
         Ok(written)
     }
@@ -34,10 +35,10 @@
     }
 }
 
-impl Disk for Small {
-    type File = Limited;
-    fn create(&mut self, path: &Path) -> io::Result<Limited> {
-        Ok(Limited { file: RealDisk.create(path)?, left: self.0.clone() })
+impl Disk for LimitedDisk {
+    type File = LimitedFile;
+    fn create(&mut self, path: &Path) -> io::Result<LimitedFile> {
+        Ok(LimitedFile { file: RealDisk.create(path)?, left: self.0.clone() })
     }
     fn open(&mut self, path: &Path) -> io::Result<Box<dyn Read>> {
         RealDisk.open(path)
@@ -77,11 +78,11 @@
 }
 
 #[test]
-fn a_full_disk_leaves_a_gap_with_the_number_lost() {
+fn a_full_disk_leaves_a_gap_record_with_the_number_lost() {
     let folder = tempfile::tempdir().unwrap();
     let left = Arc::new(AtomicI64::new(900));
     let header = Header { node: "n".into(), ..Header::default() };
-    let mut writer = Writer::new(Small(left.clone()), folder.path(), Keep::default(), header).unwrap();
+    let mut writer = Writer::new(LimitedDisk(left.clone()), folder.path(), Keep::default(), header).unwrap();
     for n in 0..200 {
         if n == 150 {
             left.store(1 << 20, Relaxed);
@@ -89,17 +90,20 @@
         writer.write(n as f64 * 100.0, 0.0, &[asked(n as f64 * 100.0, n)]);
     }
     let notices: Vec<_> = std::iter::from_fn(|| writer.notice()).collect();
-    assert!(matches!(notices[..], [Notice::Failing(_), Notice::Recovered(_)]), "one line each: {notices:?}");
+    assert!(
+        matches!(notices[..], [Notice::Failing(_), Notice::Recovered(_)]),
+        "one notice each: {notices:?}"
+    );
     let (lost, read) = gaps_and_records(folder.path());
     assert_eq!(lost, writer.lost());
     assert!(lost > 50 && read > 50, "{lost} lost, {read} read");
-    assert_eq!(lost + read, 200, "each is read or told as lost");
+    assert_eq!(lost + read, 200, "each record is read or reported as lost");
 }
 
 #[test]
-fn a_folder_taken_away_is_seen_within_a_second_and_written_again_when_back() {
-    let above = tempfile::tempdir().unwrap();
-    let folder = above.path().join("records");
+fn a_removed_folder_is_noticed_within_a_second_and_written_again_once_restored() {
+    let parent = tempfile::tempdir().unwrap();
+    let folder = parent.path().join("records");
     std::fs::create_dir(&folder).unwrap();
     let mut writer = Writer::new(RealDisk, &folder, Keep::default(), Header::default()).unwrap();
     writer.write(0.0, 0.0, &[asked(0.0, 0)]);
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn records_that_never_came_are_told_before_the_next() {
+fn records_lost_before_the_writer_are_reported_before_the_next() {
     let folder = tempfile::tempdir().unwrap();
     let mut writer = Writer::new(RealDisk, folder.path(), Keep::default(), Header::default()).unwrap();
     writer.missed(17, 5.0);
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,4 +1,5 @@
-//! The recorder in the real program, over real sockets: a short incident, a kill, a restart, a folder taken away.
+//! Recording by the real program over real sockets: a short incident, a killed node, a restart, a removed
+//! folder and invalid settings.
 use hopmoor_incident::{Findings, RunEnd, State, analyse};
 use hopmoor_record::{Event, Folder, Merged};
 use hopmoor_standin::sockets::{Client, Discovery, Member, Stage};
@@ -9,6 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// A running node process. It is killed on drop.
 struct Node {
     child: Child,
     address: String,
@@ -25,9 +27,9 @@
         let port: String =
             listening.split("127.0.0.1:").nth(1).unwrap().chars().take_while(char::is_ascii_digit).collect();
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
+        let lines_read = log.clone();
         std::thread::spawn(move || {
-            lines.map_while(Result::ok).for_each(|line| kept.lock().unwrap().push(line))
+            lines.map_while(Result::ok).for_each(|line| lines_read.lock().unwrap().push(line))
         });
         Node { child, address: format!("127.0.0.1:{port}"), log }
     }
@@ -36,10 +38,11 @@
         assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
     }
 
-    fn logged(&self, wanted: &str) -> bool {
-        let until = Instant::now() + Duration::from_secs(4);
-        while Instant::now() < until {
-            if self.log.lock().unwrap().iter().any(|line| line.contains(wanted)) {
+    /// Waits up to 4 s for a log line that contains `text`.
+    fn logged(&self, text: &str) -> bool {
+        let deadline = Instant::now() + Duration::from_secs(4);
+        while Instant::now() < deadline {
+            if self.log.lock().unwrap().iter().any(|line| line.contains(text)) {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -59,7 +62,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1_000.0
 }
 
-/// Writes the node's configuration and its operator's file; returns the latter, and the folder of records.
+/// Writes the node's configuration and its operator file. Returns the paths of the operator file and of the
+/// folder of records.
 fn set_up(folder: &Path, discovery: &Discovery) -> (PathBuf, PathBuf) {
     let config = format!(
         r#"{{"name":"n-1","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f",
@@ -78,68 +82,72 @@
     (operator, records)
 }
 
-fn found(records: &Path) -> Findings {
+fn analyse_folder(records: &Path) -> Findings {
     analyse(Merged::new(vec![Folder::list(records).unwrap()]))
 }
 
-/// What the clients really wanted and got, in milliseconds.
+/// Connection time that the clients wanted and that they were served, in milliseconds, as measured by the
+/// clients.
 #[derive(Default)]
-struct Truth {
-    wanted: AtomicU64,
-    served: AtomicU64,
+struct ClientTotals {
+    wanted_ms: AtomicU64,
+    served_ms: AtomicU64,
 }
 
-/// One client: it wants its connection for so long, whatever happens to it.
-async fn want(
+/// Runs a client that wants a connection for the time `life` and reconnects whenever it loses it.
+async fn run_client(
     address: String,
     number: u32,
     life: Duration,
-    silent: Arc<AtomicU64>,
-    truth: Arc<Truth>,
+    silent_member: Arc<AtomicU64>,
+    totals: Arc<ClientTotals>,
     end: Instant,
 ) {
     let until = (Instant::now() + life).min(end);
-    let mut settled = Instant::now();
-    let mut settle = |standing: Option<&str>| {
+    let mut counted_until = Instant::now();
+    let mut count_time = |established: Option<&str>| {
         let now = Instant::now().min(until);
-        let passed = now.saturating_duration_since(settled).as_millis() as u64;
-        settled += Duration::from_millis(passed);
-        truth.wanted.fetch_add(passed, Relaxed);
-        // The member whose receipt this is may be silent just now.
-        let receipt = standing.and_then(|up| up.strip_prefix("UP ")).and_then(|up| up.parse::<u64>().ok());
-        if receipt.is_some_and(|receipt| receipt != silent.load(Relaxed)) {
-            truth.served.fetch_add(passed, Relaxed);
+        let elapsed_ms = now.saturating_duration_since(counted_until).as_millis() as u64;
+        counted_until += Duration::from_millis(elapsed_ms);
+        totals.wanted_ms.fetch_add(elapsed_ms, Relaxed);
+        // A connection at the silent member is not served. The receipt in the answer names the member.
+        let receipt = established.and_then(|up| up.strip_prefix("UP ")).and_then(|up| up.parse::<u64>().ok());
+        if receipt.is_some_and(|receipt| receipt != silent_member.load(Relaxed)) {
+            totals.served_ms.fetch_add(elapsed_ms, Relaxed);
         }
     };
-    let (mut mark, mut tries) = ("", 0u32);
+    let (mut arrival, mut attempts) = ("", 0u32);
     while Instant::now() < until {
-        tries += 1;
-        let line = format!("OPEN {number:x}-{tries} k{number} c=chat,t=acme,d=1500{mark}");
+        attempts += 1;
+        let line = format!("OPEN {number:x}-{attempts} k{number} c=chat,t=acme,d=1500{arrival}");
         let answer = match Client::connect(&address).await {
             Ok(mut client) => client.ask(&line).await.map(|answer| (client, answer)),
             Err(error) => Err(error),
         };
-        settle(None);
+        count_time(None);
         match answer {
             Ok((mut client, answer)) if answer.starts_with("UP ") => {
                 while Instant::now() < until {
-                    let slice = tokio::time::timeout(Duration::from_millis(20), client.read()).await;
-                    settle(Some(&answer));
-                    if slice.is_ok() {
+                    let line_read = tokio::time::timeout(Duration::from_millis(20), client.read()).await;
+                    count_time(Some(&answer));
+                    if line_read.is_ok() {
                         break;
                     }
                 }
-                mark = ",again=1";
+                arrival = ",again=1";
             }
-            Ok(_) => mark = ",r=1",
-            Err(_) => mark = ",again=1",
+            Ok(_) => arrival = ",r=1",
+            Err(_) => arrival = ",again=1",
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
+/// A member is silent for two seconds and another drains and ends; then the node is killed. The analysis of
+/// its records must find both with the times, no other trouble, and the share of service that the clients
+/// lost.
 #[test]
-fn a_short_incident_over_sockets_is_read_from_what_a_killed_node_leaves() {
+fn records_of_a_killed_node_show_a_short_incident() {
     let folder = tempfile::tempdir().unwrap();
     let stage = Stage::new().unwrap();
     let discovery = Discovery::start(&stage).unwrap();
@@ -148,76 +156,86 @@
     (0..4).for_each(|at| set(at, "Ready"));
     let (operator, records) = set_up(folder.path(), &discovery);
     let mut node = Node::start(&operator);
-    let (truth, silent) = (Arc::new(Truth::default()), Arc::new(AtomicU64::new(0)));
+    let (totals, silent_member) = (Arc::new(ClientTotals::default()), Arc::new(AtomicU64::new(0)));
     let began = Instant::now();
     let end = began + Duration::from_millis(7_000);
-    let (address, clients) = (node.address.clone(), (truth.clone(), silent.clone()));
+    let (address, clients) = (node.address.clone(), (totals.clone(), silent_member.clone()));
     stage.handle().spawn(async move {
         let mut number = 0;
         while Instant::now() < end {
             number += 1;
-            // Lives are as unlike as they come, and the same in each run.
+            // Varied connection times, the same in each run of the test.
             let life = Duration::from_millis(400 + u64::from(number * 733 % 1_600));
-            tokio::spawn(want(address.clone(), number, life, clients.1.clone(), clients.0.clone(), end));
+            tokio::spawn(run_client(
+                address.clone(),
+                number,
+                life,
+                clients.1.clone(),
+                clients.0.clone(),
+                end,
+            ));
             tokio::time::sleep(Duration::from_millis(15)).await;
         }
     });
     let wait = |ms| {
         std::thread::sleep((began + Duration::from_millis(ms)).saturating_duration_since(Instant::now()))
     };
-    let mut done = Vec::new();
+    let mut changes = Vec::new();
     wait(2_000);
-    done.push((unix_ms(), "s-2", State::Silent, true));
-    silent.store(2, Relaxed);
+    changes.push((unix_ms(), "s-2", State::Silent, true));
+    silent_member.store(2, Relaxed);
     members[1].silent(true);
     wait(4_000);
     members[1].silent(false);
-    silent.store(0, Relaxed);
-    done.push((unix_ms(), "s-2", State::Silent, false));
+    silent_member.store(0, Relaxed);
+    changes.push((unix_ms(), "s-2", State::Silent, false));
     wait(4_800);
     set(2, "Terminating");
-    done.push((unix_ms(), "s-3", State::Draining, true));
+    changes.push((unix_ms(), "s-3", State::Draining, true));
     wait(6_200);
     set(2, "Gone");
     members[2].kill();
-    done.push((unix_ms(), "s-3", State::Gone, true));
+    changes.push((unix_ms(), "s-3", State::Gone, true));
     wait(7_000);
     node.signal("-KILL");
     let killed = unix_ms();
     node.child.wait().unwrap();
-    let findings = found(&records);
+    let findings = analyse_folder(&records);
     let spans =
         || findings.members.iter().flat_map(|member| member.spans.iter().map(move |span| (member, span)));
-    for (at, name, state, begins) in &done {
-        let hit = spans().any(|(member, span)| {
+    for (at, name, state, begins) in &changes {
+        let found = spans().any(|(member, span)| {
             let edge = if *begins { Some(span.from) } else { span.until };
             member.name == *name
                 && span.state == *state
                 && edge.is_some_and(|edge| (edge - at).abs() <= 1_000.0)
         });
-        assert!(hit, "{name} {state:?} {begins} at {at}: {:#?}", findings.members);
+        assert!(found, "{name} {state:?} {begins} at {at}: {:#?}", findings.members);
     }
-    let invented =
+    let trouble_spans =
         spans().filter(|(_, span)| span.state.is_trouble() || span.state == State::Draining).count();
-    assert_eq!(invented, 2, "{:#?}", findings.incidents);
+    assert_eq!(trouble_spans, 2, "{:#?}", findings.incidents);
     let run = &findings.nodes[0].runs[0];
     assert!(run.end == RunEnd::RecordsEnd && (run.until - killed).abs() < 500.0, "{run:?} {killed}");
-    let really = 1.0 - truth.served.load(Relaxed) as f64 / truth.wanted.load(Relaxed) as f64;
-    let told = findings.service.share_lost;
-    assert!(really > 0.02 && (really - told).abs() < 0.02, "lost {really:.4}, told {told:.4}");
+    let measured = 1.0 - totals.served_ms.load(Relaxed) as f64 / totals.wanted_ms.load(Relaxed) as f64;
+    let reported = findings.service.share_lost;
+    assert!(
+        measured > 0.02 && (measured - reported).abs() < 0.02,
+        "lost {measured:.4}, reported {reported:.4}"
+    );
 
-    // The same folder after a restart; the second run ends in good order.
-    let mut again = Node::start(&operator);
-    again.signal("-TERM");
-    assert!(again.child.wait().unwrap().success());
-    let ends: Vec<_> = found(&records).nodes[0].runs.iter().map(|run| run.end).collect();
+    // Restart on the same folder; the second run is shut down gracefully.
+    let mut restarted = Node::start(&operator);
+    restarted.signal("-TERM");
+    assert!(restarted.child.wait().unwrap().success());
+    let ends: Vec<_> = analyse_folder(&records).nodes[0].runs.iter().map(|run| run.end).collect();
     assert_eq!(ends, [RunEnd::Cut, RunEnd::Stopped]);
 }
 
-/// The folder is removed while the node runs: it goes on serving, says so once, counts what is lost, and records
-/// again when the folder is back.
+/// The folder is removed while the node runs. The node keeps serving, logs the failure once, counts the lost
+/// records and records again when the folder is back.
 #[test]
-fn a_folder_taken_away_costs_records_and_nothing_else() {
+fn a_removed_folder_loses_records_and_nothing_else() {
     let folder = tempfile::tempdir().unwrap();
     let stage = Stage::new().unwrap();
     let discovery = Discovery::start(&stage).unwrap();
@@ -225,7 +243,7 @@
     discovery.set("s-1", &member.address(), "Ready");
     let (operator, records) = set_up(folder.path(), &discovery);
     let node = Node::start(&operator);
-    let serves = |number: u32| {
+    let answer_to = |number: u32| {
         let address = node.address.clone();
         let (send, answer) = std::sync::mpsc::channel();
         stage.handle().spawn(async move {
@@ -235,17 +253,18 @@
         });
         answer.recv_timeout(Duration::from_secs(5)).unwrap()
     };
-    assert_eq!(serves(1), "UP 5");
+    assert_eq!(answer_to(1), "UP 5");
     std::fs::remove_dir_all(&records).unwrap();
     assert!(node.logged("records not written"));
-    assert_eq!(serves(2), "UP 5");
+    assert_eq!(answer_to(2), "UP 5");
     std::fs::create_dir(&records).unwrap();
     assert!(node.logged("records written again"));
-    assert_eq!(serves(3), "UP 5");
+    assert_eq!(answer_to(3), "UP 5");
     std::thread::sleep(Duration::from_millis(400));
-    let steps = Folder::list(&records).unwrap().read();
-    let gaps = steps.filter(|item| {
-        matches!(item, hopmoor_record::folder::Item::Record(record) if matches!(&record.event, Event::Gap(gap) if gap.lost > 0 && gap.disk))
+    let items = Folder::list(&records).unwrap().read();
+    let gaps = items.filter(|item| {
+        matches!(item, hopmoor_record::folder::Item::Record(record)
+            if matches!(&record.event, Event::Gap(gap) if gap.lost > 0 && gap.disk))
     });
     assert_eq!(gaps.count(), 1);
     node.signal("-USR1");
@@ -259,7 +278,7 @@
 }
 
 #[test]
-fn bad_settings_are_refused_by_field() {
+fn invalid_settings_are_rejected_by_field() {
     let folder = tempfile::tempdir().unwrap();
     let stage = Stage::new().unwrap();
     let (operator, records) = set_up(folder.path(), &Discovery::start(&stage).unwrap());
@@ -276,10 +295,10 @@
     ] {
         std::fs::write(&operator, format!(r#"{{"config":"node.json","records":{bad}}}"#)).unwrap();
         let output = check(&operator);
-        let said = String::from_utf8_lossy(&output.stderr);
+        let message = String::from_utf8_lossy(&output.stderr);
         assert!(
-            !output.status.success() && said.contains(field) && said.lines().count() == 1,
-            "{bad}: {said}"
+            !output.status.success() && message.contains(field) && message.lines().count() == 1,
+            "{bad}: {message}"
         );
         let serve =
             Command::new(env!("CARGO_BIN_EXE_hopmoor")).args(["serve", "--operator"]).arg(&operator).output();
