--- a/crates/record/src/codec.rs
+++ b/crates/record/src/codec.rs
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Decodes the header. Returns whether it is decoded; if not, more bytes are needed or it is damaged.
+    /// Decodes the header. Returns `false` if more bytes are needed or the header is damaged.
     fn read_header(&mut self) -> bool {
         let magic = &self.bytes[..self.bytes.len().min(MAGIC.len())];
         if *magic != MAGIC[..magic.len()] {
--- a/crates/record/src/disk.rs
+++ b/crates/record/src/disk.rs
@@ -18,7 +18,7 @@
     pub modified_at: SystemTime,
 }
 
-/// File system calls made by a [`Writer`](crate::folder::Writer).
+/// File system calls that a [`Writer`](crate::folder::Writer) makes.
 pub trait Disk: Send {
     /// A file open for writing.
     type File: Write + Send;
--- a/crates/record/src/folder.rs
+++ b/crates/record/src/folder.rs
@@ -31,12 +31,12 @@
 const DISK_RETRY_MS: f64 = 1_000.0;
 /// Interval at which the writer checks that the open segment still exists.
 const FILE_CHECK_INTERVAL_MS: f64 = 1_000.0;
-/// Interval at which old segments are removed, beside each time that a segment is sealed.
+/// Interval at which old segments are removed. They are also removed whenever a segment is sealed.
 const CLEANUP_INTERVAL_MS: f64 = 60_000.0;
 /// Maximum number of members that are repeated at the head of each segment.
 const MAX_REPEATED_MEMBERS: usize = 100_000;
-/// Base-2 logarithm of the compression window. 128 KiB keeps the memory for compression small enough for a
-/// small node.
+/// Base-2 logarithm of the compression window in bytes. A window of 128 KiB keeps the memory for compression
+/// affordable for a small node.
 const ZSTD_WINDOW_LOG: u32 = 17;
 const ZSTD_LEVEL: i32 = 1;
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Change in a writer's condition, for the log. No notice stops the node.
+/// Condition that a writer reports for the log. No notice stops the node.
 #[derive(Debug)]
 pub enum Notice {
     /// A write failed. Records are lost until writing succeeds again.
@@ -86,7 +86,7 @@
     open: Option<OpenSegment<D::File>>,
     /// Members repeated at the head of the next segment.
     members: BTreeMap<MemberId, Member>,
-    /// Lost records that no gap record tells of yet.
+    /// Lost records that no gap record has reported yet.
     gap: Option<Gap>,
     /// Whether the last write failed and [`Notice::Failing`] was raised for it.
     failing: bool,
@@ -559,7 +559,7 @@
     /// Starts at the newest segment, or at the oldest if `from_oldest`.
     ///
     /// # Errors
-    /// If the folder can't be listed.
+    /// If the folder can't be listed or that segment can't be opened.
     pub fn new(folder: &Path, from_oldest: bool) -> io::Result<Tail> {
         let listed = Folder::list(folder)?;
         let first = if from_oldest { listed.segments.first() } else { listed.segments.last() };
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 pub struct Origin(pub usize);
 
-/// Step in the merged records.
+/// A step in the merged sequence of records.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A run of a node starts.
--- a/crates/record/src/record.rs
+++ b/crates/record/src/record.rs
@@ -234,7 +234,7 @@
 pub struct Probed {
     /// Identifier of the member.
     pub member: MemberId,
-    /// Outcome.
+    /// Outcome of the probe.
     pub outcome: Outcome,
     /// Reported load divided by capacity.
     pub load: Option<f32>,
@@ -249,7 +249,7 @@
     pub transaction: TransactionId,
     /// Member that it was sent to.
     pub member: MemberId,
-    /// Outcome.
+    /// Outcome of the attempt or connection.
     pub outcome: Outcome,
     /// Whether the connection was established: if so, this is the end of a connection, not of an attempt.
     pub stood: bool,
--- a/crates/record/tests/damage.rs
+++ b/crates/record/tests/damage.rs
@@ -172,9 +172,9 @@
         "{total_bytes} bytes from {}",
         listed[0].sequence
     );
-    let no_age = Keep { keep_for: Duration::ZERO, ..retention };
+    let expire_all = Keep { keep_for: Duration::ZERO, ..retention };
     std::thread::sleep(Duration::from_millis(20));
-    drop(Writer::new(RealDisk, folder.path(), no_age, header(9_000.0)).unwrap());
+    drop(Writer::new(RealDisk, folder.path(), expire_all, header(9_000.0)).unwrap());
     assert_eq!(Folder::list(folder.path()).unwrap().segments.len(), 1);
 }
 
--- a/crates/record/tests/full_disk.rs
+++ b/crates/record/tests/full_disk.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn records_lost_before_the_writer_are_reported_before_the_next() {
+fn records_lost_before_reaching_the_writer_are_reported_before_the_next() {
     let folder = tempfile::tempdir().unwrap();
     let mut writer = Writer::new(RealDisk, folder.path(), Keep::default(), Header::default()).unwrap();
     writer.missed(17, 5.0);
