--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,4 +1,5 @@
-//! What operators call: one HTTP/1.1 call a connection, as a state machine that is fed bytes (RFC 9112).
+//! The admin endpoint's protocol: one HTTP/1.1 request per connection (RFC 9112), as a parser that is fed bytes,
+//! and the responses.
 
 use crate::broker::{ClassCounts, Figures};
 use hopmoor_agree::{Most, Part, Permit, Scope};
@@ -8,102 +9,110 @@
 use serde_json::{Value, json};
 use std::fmt::Write;
 
-/// The longest head that is taken, and the most fields in it.
-pub const HEAD: usize = 8 * 1024;
-const FIELDS: usize = 64;
+/// Maximum size of a request head in bytes.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Maximum number of header fields in a request head.
+const MAX_HEADER_FIELDS: usize = 64;
 
-/// What an operator wants.
+/// An operation that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// Whether this process would serve a new client now.
+pub enum Operation {
+    /// Reports whether this process would serve a new client now.
     Ready,
-    /// The figures.
+    /// Reports the metrics.
     Metrics,
-    /// Take no clients and move those that stand.
+    /// Stops taking clients and moves the connected ones away.
     Drain,
-    /// Take clients again.
+    /// Takes clients again.
     Resume,
-    /// What the node knows of its fleet.
+    /// Reports the node's view of its fleet.
     Fleet,
-    /// What the fleet has agreed on.
+    /// Reports the drain permits and budgets that the fleet has agreed on.
     Permits,
-    /// How many may be out from now on.
+    /// Sets how many nodes of a scope may drain at once.
     Budget(Scope, Most),
 }
 
-/// Each place with the one method it takes.
-const PLACES: [(&str, &str, Ask); 6] = [
-    ("/-/ready", "GET", Ask::Ready),
-    ("/-/metrics", "GET", Ask::Metrics),
-    ("/-/drain", "PUT", Ask::Drain),
-    ("/-/resume", "PUT", Ask::Resume),
-    ("/-/fleet", "GET", Ask::Fleet),
-    ("/-/permits", "GET", Ask::Permits),
+/// Each path without parameters, the only method it accepts and its operation.
+const ENDPOINTS: [(&str, &str, Operation); 6] = [
+    ("/-/ready", "GET", Operation::Ready),
+    ("/-/metrics", "GET", Operation::Metrics),
+    ("/-/drain", "PUT", Operation::Drain),
+    ("/-/resume", "PUT", Operation::Resume),
+    ("/-/fleet", "GET", Operation::Fleet),
+    ("/-/permits", "GET", Operation::Permits),
 ];
 
-/// A call that is refused without asking the node.
+/// Why a request is answered with an error without involving the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// Not HTTP, or the caller ended before its head was whole.
-    Unreadable,
-    /// Nothing is at that place.
-    Unknown,
-    /// What follows the place can't be read.
-    Query(&'static str),
-    /// The place takes another method.
-    Method(&'static str),
-    /// The head did not come in time.
-    Late,
-    /// The head is longer than [`HEAD`], or has too many fields.
-    TooLong,
+pub enum RequestError {
+    /// The request is not HTTP, or the connection ended within its head.
+    Malformed,
+    /// The path does not exist.
+    NotFound,
+    /// The query string is invalid, for this reason.
+    InvalidQuery(&'static str),
+    /// The path accepts only this method.
+    MethodNotAllowed(&'static str),
+    /// The head was not complete in time.
+    Timeout,
+    /// The head is longer than [`MAX_HEAD_BYTES`], or has too many fields.
+    HeadTooLong,
 }
 
-/// One call, as far as it has come.
+/// Incremental parser of one request.
 #[derive(Debug, Default)]
-pub struct Call {
+pub struct RequestParser {
     head: Vec<u8>,
 }
 
-impl Call {
-    /// Takes bytes; says what is asked once the head is whole. A body is not looked at: no call here has one.
-    pub fn take(&mut self, bytes: &[u8]) -> Option<Result<Ask, Refused>> {
+impl RequestParser {
+    /// Adds received bytes; returns the requested operation or the error once the head is complete. A body is
+    /// ignored, as no operation has one.
+    pub fn take(&mut self, bytes: &[u8]) -> Option<Result<Operation, RequestError>> {
         self.head.extend_from_slice(bytes);
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
         let mut request = httparse::Request::new(&mut fields);
         match request.parse(&self.head) {
-            Ok(Status::Complete(length)) if length > HEAD => Some(Err(Refused::TooLong)),
+            Ok(Status::Complete(length)) if length > MAX_HEAD_BYTES => Some(Err(RequestError::HeadTooLong)),
             Ok(Status::Complete(_)) => {
-                Some(ask(request.method.unwrap_or_default(), request.path.unwrap_or_default()))
+                Some(route(request.method.unwrap_or_default(), request.path.unwrap_or_default()))
             }
-            Ok(Status::Partial) if self.head.len() > HEAD => Some(Err(Refused::TooLong)),
+            Ok(Status::Partial) if self.head.len() > MAX_HEAD_BYTES => Some(Err(RequestError::HeadTooLong)),
             Ok(Status::Partial) => None,
-            Err(httparse::Error::TooManyHeaders) => Some(Err(Refused::TooLong)),
-            Err(_) => Some(Err(Refused::Unreadable)),
+            Err(httparse::Error::TooManyHeaders) => Some(Err(RequestError::HeadTooLong)),
+            Err(_) => Some(Err(RequestError::Malformed)),
         }
     }
 }
 
-fn ask(method: &str, path: &str) -> Result<Ask, Refused> {
+fn route(method: &str, path: &str) -> Result<Operation, RequestError> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
-    if path == BUDGET {
-        return if method == "PUT" { budget(query) } else { Err(Refused::Method("PUT")) };
+    if path == BUDGET_PATH {
+        return if method == "PUT" {
+            parse_budget(query)
+        } else {
+            Err(RequestError::MethodNotAllowed("PUT"))
+        };
     }
-    let (_, takes, ask) = PLACES.iter().find(|(place, ..)| *place == path).ok_or(Refused::Unknown)?;
-    if *takes == method { Ok(ask.clone()) } else { Err(Refused::Method(takes)) }
+    let (_, allowed, operation) =
+        ENDPOINTS.iter().find(|(known, ..)| *known == path).ok_or(RequestError::NotFound)?;
+    if *allowed == method { Ok(operation.clone()) } else { Err(RequestError::MethodNotAllowed(allowed)) }
 }
 
-/// `PUT /-/budget?most=2`, `?most=25%25`, `?most=1&zone=a`: how many nodes may be out at once.
-const BUDGET: &str = "/-/budget";
-/// As in the operator's file.
-const ZONE_BYTES: usize = 64;
+/// Path that sets how many nodes may drain at once: `PUT /-/budget?most=2`, `?most=25%25`, `?most=1&zone=a`.
+const BUDGET_PATH: &str = "/-/budget";
+/// Maximum length of a zone's name; the same limit as in the operator file.
+const MAX_ZONE_BYTES: usize = 64;
 
-fn budget(query: &str) -> Result<Ask, Refused> {
+fn parse_budget(query: &str) -> Result<Operation, RequestError> {
     let (mut scope, mut most) = (Scope::Fleet, None);
     for (key, value) in query.split('&').filter_map(|pair| pair.split_once('=')) {
-        let value = percent_decode_str(value).decode_utf8().map_err(|_| Refused::Query("not UTF-8"))?;
+        let value =
+            percent_decode_str(value).decode_utf8().map_err(|_| RequestError::InvalidQuery("not UTF-8"))?;
         match key {
-            "zone" if value.is_empty() || value.len() > ZONE_BYTES => {
-                return Err(Refused::Query("a zone has 1 to 64 bytes"));
+            "zone" if value.is_empty() || value.len() > MAX_ZONE_BYTES => {
+                return Err(RequestError::InvalidQuery("a zone has 1 to 64 bytes"));
             }
             "zone" => scope = Scope::Zone(value.into_owned()),
             "most" => {
@@ -114,19 +123,20 @@
                     None => value.parse().ok().map(Most::Number),
                 };
             }
-            _ => return Err(Refused::Query("known are 'most' and 'zone'")),
+            _ => return Err(RequestError::InvalidQuery("known are 'most' and 'zone'")),
         }
     }
-    let most = most.ok_or(Refused::Query("'most' is a number, or a share as in 25%"))?;
-    Ok(Ask::Budget(scope, most))
+    let most = most.ok_or(RequestError::InvalidQuery("'most' is a number, or a share as in 25%"))?;
+    Ok(Operation::Budget(scope, most))
 }
 
-/// A whole answer in plain text, after which the connection ends.
-pub fn answer(status: u16, more: &str, body: &str) -> Vec<u8> {
-    answer_in("text/plain; charset=utf-8", status, more, body)
+/// Builds a complete plain-text response, after which the connection is closed; `more` holds additional header
+/// lines.
+pub fn response(status: u16, more: &str, body: &str) -> Vec<u8> {
+    response_with_type("text/plain; charset=utf-8", status, more, body)
 }
 
-fn answer_in(kind: &str, status: u16, more: &str, body: &str) -> Vec<u8> {
+fn response_with_type(kind: &str, status: u16, more: &str, body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         202 => "Accepted",
@@ -146,26 +156,27 @@
     .into_bytes()
 }
 
-/// The answer to a call that is refused.
-pub fn refusal(why: Refused) -> Vec<u8> {
+/// Builds the response to an invalid request.
+pub fn error_response(why: RequestError) -> Vec<u8> {
     match why {
-        Refused::Unreadable => answer(400, "", "not a readable HTTP/1.1 call\n"),
-        Refused::Unknown => answer(
+        RequestError::Malformed => response(400, "", "not a readable HTTP/1.1 call\n"),
+        RequestError::NotFound => response(
             404,
             "",
             "known are /-/ready, /-/metrics, /-/drain, /-/resume; in a fleet /-/fleet, /-/permits, /-/budget\n",
         ),
-        Refused::Query(what) => answer(400, "", &format!("{what}\n")),
-        Refused::Method(takes) => {
-            answer(405, &format!("Allow: {takes}\r\n"), "another method is taken here\n")
+        RequestError::InvalidQuery(what) => response(400, "", &format!("{what}\n")),
+        RequestError::MethodNotAllowed(allowed) => {
+            response(405, &format!("Allow: {allowed}\r\n"), "another method is taken here\n")
         }
-        Refused::Late => answer(408, "", "the call did not come in time\n"),
-        Refused::TooLong => answer(431, "", "the head of the call is too long\n"),
+        RequestError::Timeout => response(408, "", "the call did not come in time\n"),
+        RequestError::HeadTooLong => response(431, "", "the head of the call is too long\n"),
     }
 }
 
-/// What a node knows of what is agreed, as JSON. What stands in the log only a voter knows.
-pub fn permits(name: &str, part: &Part) -> Vec<u8> {
+/// Builds the JSON response that shows the node's drain request and permit. A voter adds what its Raft log holds:
+/// leader, term, index, budgets and all permits.
+pub fn permits_response(name: &str, part: &Part) -> Vec<u8> {
     let mut body = json!({
         "node": name, "asks": part.asking().told(), "permit": part.asking().fence(), "votes": part.voter().is_some(),
         "silent": part.silent(),
@@ -186,11 +197,11 @@
         body["budgets"] = state.budgets().map(budget).collect();
         body["permits"] = state.permits().iter().map(permit).collect();
     }
-    answer_in("application/json", 200, "", &format!("{body:#}\n"))
+    response_with_type("application/json", 200, "", &format!("{body:#}\n"))
 }
 
-/// What a node knows of its fleet, as JSON.
-pub fn fleet(view: &View) -> Vec<u8> {
+/// Builds the JSON response that shows a node's view of its fleet.
+pub fn fleet_response(view: &View) -> Vec<u8> {
     let hex = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     let members: Vec<Value> = view
         .members
@@ -219,11 +230,14 @@
         "superseded_by": view.superseded_by.as_ref().map(|id| id.incarnation),
         "members": members,
     });
-    answer_in("application/json", 200, "", &(whole.to_string() + "\n"))
+    response_with_type("application/json", 200, "", &(whole.to_string() + "\n"))
 }
 
-/// The fleet's figures, in the same form.
-pub fn fleet_metrics((alive, suspect, dead): (usize, usize, usize), figures: &fleet::Figures) -> String {
+/// Formats the fleet metrics as lines `name=value`; the tuple counts nodes by state.
+pub fn format_fleet_metrics(
+    (alive, suspect, dead): (usize, usize, usize),
+    figures: &fleet::Figures,
+) -> String {
     let fleet::Figures { datagrams_in, datagrams_out, bytes_in, bytes_out, refused, view_changes, .. } =
         figures;
     let fleet::Figures { exchanges, false_alarms, stalls, .. } = figures;
@@ -235,8 +249,8 @@
     )
 }
 
-/// The figures as lines `name=value`; `classes` are the names of the classes in the order of their numbers.
-pub fn metrics(classes: &[String], figures: &Figures) -> String {
+/// Formats the node's metrics as lines `name=value`; `classes` holds the class names, indexed by class number.
+pub fn format_metrics(classes: &[String], figures: &Figures) -> String {
     let mut text = String::new();
     for (name, counts) in classes.iter().zip(&figures.classes) {
         let ClassCounts { served, refused, failed, attempts } = counts;
--- a/src/config.rs
+++ b/src/config.rs
@@ -80,12 +80,12 @@
     /// The files that make up its configuration: their digest tells versions apart.
     pub files: Vec<PathBuf>,
     /// Drains are asked of the fleet; none: whoever calls drains.
-    pub agree: Option<Agree>,
+    pub agree: Option<Agreement>,
 }
 
 /// Who agrees on drains.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Agree {
+pub struct Agreement {
     /// The names of the voters: 1, 3, 5 or 7.
     pub voters: Vec<String>,
     /// Where this node keeps its log and vote, if it is one of them.
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,9 +1,10 @@
-//! Answers operators: descriptors of its own, so that no crowd of clients keeps a call out.
+//! Driver of the admin HTTP endpoint. It has file descriptors of its own, so that operators can call the node
+//! however many clients are connected.
 
-use super::agree::Agree;
+use super::agree::Agreement;
 use super::fleet::Link;
 use super::{Node, listen};
-use crate::admin::{self, Ask, Call, Refused};
+use crate::admin::{self, Operation, RequestError, RequestParser};
 use slog::{info, warn};
 use std::collections::VecDeque;
 use std::io;
@@ -14,24 +15,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 
-/// Callers at once; their descriptors are kept back from those of clients. A call that is whole is answered at
-/// once, so that only those that wait for the rest of one fill them, and the oldest of them gives way.
-pub(super) const DESCRIPTORS: usize = 12;
-/// A call that is not whole by then is refused.
-const WAIT: Duration = Duration::from_secs(5);
-/// The answer is written, and what the caller still sends is read, within this: closing before would answer it
-/// with a reset that may overtake the answer.
-const FLUSH: Duration = Duration::from_millis(1_000);
+/// Maximum number of concurrent admin connections, one descriptor each, reserved from the process's limit. A
+/// complete request is answered at once, so the limit is only reached by connections with an incomplete request;
+/// the oldest of these is then closed.
+pub(super) const RESERVED_DESCRIPTORS: usize = 12;
+/// A request that is not complete after this time is answered with 408.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time to write the response and to read what the caller still sends. Closing a connection with unread input
+/// would send a reset, which may reach the caller before the response.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Listens where operators call.
+/// Binds the admin listener.
 pub(super) fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     listen(address).map_err(|error| io::Error::new(error.kind(), format!("admin: {address}: {error}")))
 }
 
+/// Accepts admin connections; `classes` holds the class names that the metrics use.
 pub(super) async fn accept(node: Rc<Node>, listener: TcpListener, classes: Vec<String>) {
     let classes: Rc<[String]> = classes.into();
-    // Open calls, oldest first: dropping the sender ends the call.
-    let mut calls: VecDeque<oneshot::Sender<()>> = VecDeque::new();
+    // Open connections, oldest first: dropping the sender closes the connection.
+    let mut connections: VecDeque<oneshot::Sender<()>> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -41,120 +44,127 @@
                 continue;
             }
         };
-        calls.retain(|call| !call.is_closed());
-        if calls.len() >= DESCRIPTORS {
-            calls.pop_front();
-            // The one that gave way closes first.
+        connections.retain(|cancel| !cancel.is_closed());
+        if connections.len() >= RESERVED_DESCRIPTORS {
+            connections.pop_front();
+            // Lets the evicted connection close before this one is served.
             tokio::task::yield_now().await;
         }
-        let (call, given_way) = oneshot::channel();
-        calls.push_back(call);
+        let (cancel, evicted) = oneshot::channel();
+        connections.push_back(cancel);
         let (node, classes) = (node.clone(), classes.clone());
         tokio::task::spawn_local(async move {
             tokio::select! {
-                _ = given_way => {}
-                () = serve(&node, stream, &classes) => {}
+                _ = evicted => {}
+                () = serve_connection(&node, stream, &classes) => {}
             }
         });
     }
 }
 
-async fn serve(node: &Rc<Node>, mut stream: TcpStream, classes: &[String]) {
-    let asked = match tokio::time::timeout(WAIT, read(&mut stream)).await {
-        Ok(Ok(asked)) => asked,
+async fn serve_connection(node: &Rc<Node>, mut stream: TcpStream, classes: &[String]) {
+    let request = match tokio::time::timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await {
+        Ok(Ok(request)) => request,
         Ok(Err(_)) => return,
-        Err(_) => Err(Refused::Late),
+        Err(_) => Err(RequestError::Timeout),
     };
-    let answer = match asked {
-        Ok(ask) => answer(node, ask, classes),
-        Err(refused) => admin::refusal(refused),
+    let response = match request {
+        Ok(operation) => execute(node, operation, classes),
+        Err(reason) => admin::error_response(reason),
     };
-    let last = async {
-        stream.write_all(&answer).await?;
+    let close = async {
+        stream.write_all(&response).await?;
         stream.shutdown().await?;
         let mut sink = [0u8; 512];
         while stream.read(&mut sink).await? > 0 {}
         io::Result::Ok(())
     };
-    let _ = tokio::time::timeout(FLUSH, last).await;
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, close).await;
 }
 
-/// Reads until the call is whole. An error if the connection broke, or ended before a byte came.
-async fn read(stream: &mut TcpStream) -> io::Result<Result<Ask, Refused>> {
-    let mut call = Call::default();
+/// Reads one request.
+///
+/// # Errors
+/// The connection broke, or was closed before the first byte.
+async fn read_request(stream: &mut TcpStream) -> io::Result<Result<Operation, RequestError>> {
+    let mut parser = RequestParser::default();
     let mut buffer = [0u8; 1024];
-    let mut begun = false;
+    let mut received = false;
     loop {
         match stream.read(&mut buffer).await? {
-            0 if begun => return Ok(Err(Refused::Unreadable)),
+            0 if received => return Ok(Err(RequestError::Malformed)),
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            read => {
-                begun = true;
-                if let Some(asked) = call.take(&buffer[..read]) {
-                    return Ok(asked);
+            length => {
+                received = true;
+                if let Some(request) = parser.take(&buffer[..length]) {
+                    return Ok(request);
                 }
             }
         }
     }
 }
 
-fn answer(node: &Rc<Node>, ask: Ask, classes: &[String]) -> Vec<u8> {
-    match ask {
-        Ask::Ready => match node.broker.borrow().standing_by() {
-            Ok(()) => admin::answer(200, "", "ready\n"),
-            Err(why) => admin::answer(503, "", &format!("not ready: {why}\n")),
+/// Executes an operation and returns its response.
+fn execute(node: &Rc<Node>, operation: Operation, classes: &[String]) -> Vec<u8> {
+    match operation {
+        Operation::Ready => match node.broker.borrow().standing_by() {
+            Ok(()) => admin::response(200, "", "ready\n"),
+            Err(why) => admin::response(503, "", &format!("not ready: {why}\n")),
         },
-        Ask::Metrics => {
+        Operation::Metrics => {
             let figures = node.broker.borrow().figures(node.clock.now());
-            let mut text = admin::metrics(classes, &figures);
+            let mut text = admin::format_metrics(classes, &figures);
             if let Some(link) = &*node.fleet.borrow() {
                 text += &link.metrics();
             }
-            admin::answer(200, "", &text)
+            admin::response(200, "", &text)
         }
-        Ask::Fleet => match &*node.fleet.borrow() {
-            Some(link) => admin::fleet(&link.view(node)),
-            None if node.in_fleet => admin::answer(503, "", "the fleet's port is still another process's\n"),
-            None => admin::refusal(Refused::Unknown),
+        Operation::Fleet => match &*node.fleet.borrow() {
+            Some(link) => admin::fleet_response(&link.view(node)),
+            None if node.in_fleet => {
+                admin::response(503, "", "the fleet's port is still another process's\n")
+            }
+            None => admin::error_response(RequestError::NotFound),
         },
-        Ask::Permits => match agreement(node) {
+        Operation::Permits => match fleet_agreement(node) {
             Some((link, agree)) => agree.permits(&link.id().name),
-            None => admin::refusal(Refused::Unknown),
+            None => admin::error_response(RequestError::NotFound),
         },
-        Ask::Budget(scope, most) => match agreement(node) {
-            Some((_, agree)) => agree.set_budget(scope, most),
-            None => admin::refusal(Refused::Unknown),
+        Operation::Budget(scope, limit) => match fleet_agreement(node) {
+            Some((_, agree)) => agree.set_budget(scope, limit),
+            None => admin::error_response(RequestError::NotFound),
         },
-        Ask::Drain => {
-            match agreement(node) {
+        Operation::Drain => {
+            match fleet_agreement(node) {
                 Some((_, agree)) => return agree.drain(node),
                 None if node.agrees => {
-                    return admin::answer(503, "", "not in the fleet yet: nobody can be asked\n");
+                    return admin::response(503, "", "not in the fleet yet: nobody can be asked\n");
                 }
                 None => {}
             }
-            let done = node.with(|broker, now| broker.drain(now));
-            said(node, "drain", done, "draining\n")
+            let accepted = node.with(|broker, now| broker.drain(now));
+            command_response(node, "drain", accepted, "draining\n")
         }
-        Ask::Resume => {
-            let done = node.with(|broker, _| broker.resume());
-            if let Some((_, agree)) = agreement(node).filter(|_| done) {
+        Operation::Resume => {
+            let accepted = node.with(|broker, _| broker.resume());
+            if let Some((_, agree)) = fleet_agreement(node).filter(|_| accepted) {
                 agree.resume();
             }
-            said(node, "resume", done, "taking clients\n")
+            command_response(node, "resume", accepted, "taking clients\n")
         }
     }
 }
 
-/// The link and the agreement, where drains are asked of the fleet.
-fn agreement(node: &Rc<Node>) -> Option<(Rc<Link>, Rc<Agree>)> {
+/// The fleet link and the drain agreement, if the node coordinates drains with its fleet and its link is up.
+fn fleet_agreement(node: &Rc<Node>) -> Option<(Rc<Link>, Rc<Agreement>)> {
     let link = node.fleet.borrow().clone()?;
     let agree = link.agree.clone()?;
     Some((link, agree))
 }
 
-fn said(node: &Node, call: &'static str, done: bool, body: &str) -> Vec<u8> {
-    info!(node.log, "told by an operator"; "call" => call, "done" => done,
+/// Logs a drain or resume command and builds its response: 409 if the node is shutting down.
+fn command_response(node: &Node, command: &'static str, accepted: bool, body: &str) -> Vec<u8> {
+    info!(node.log, "admin command"; "call" => command, "done" => accepted,
         "transactions" => node.broker.borrow().transactions());
-    if done { admin::answer(200, "", body) } else { admin::answer(409, "", "the node ends\n") }
+    if accepted { admin::response(200, "", body) } else { admin::response(409, "", "the node ends\n") }
 }
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -1,5 +1,5 @@
-//! The agreement of the fleet, in the node: messages over the fleet's link, log and vote on disk, the node's own drains.
-//! What is decided stands in `hopmoor_agree`; this reads, writes and keeps the time.
+//! Driver of the fleet's drain agreement: sends Raft messages over the fleet link, persists log and vote, and drains
+//! this node on a permit. The decisions are made in `hopmoor_agree`, which does no I/O.
 
 use super::Node;
 use super::fleet::Link;
@@ -20,85 +20,86 @@
 use tokio::sync::Notify;
 use tokio::time::MissedTickBehavior;
 
-/// A folder that the old process of an upgrade still has is tried this often.
-const AGAIN: Duration = Duration::from_millis(200);
-/// And for so long: that process ends by then.
-const TRIES: usize = 150;
-/// The leader looks at its view this often.
-const LOOK_MS: u64 = 100;
+/// Interval between attempts to open the folder: during an upgrade the old process still holds its lock.
+const FOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of attempts: 30 s in all, by which time the old process has ended.
+const MAX_FOLDER_ATTEMPTS: usize = 150;
+/// Interval at which the leader reads the fleet view.
+const VIEW_INTERVAL_MS: u64 = 100;
 
-/// What this node has to do with the agreement.
-pub(super) struct Agree {
+/// This node's side of the agreement.
+pub(super) struct Agreement {
     folder: PathBuf,
     part: RefCell<Part>,
     wake: Notify,
 }
 
-impl Agree {
+impl Agreement {
     /// # Errors
-    /// No random number is to be had.
-    pub(super) fn new(config: &config::Agree, name: &str, log: &slog::Logger) -> io::Result<Agree> {
-        // raft's own lines on each vote and append are for those who build it.
+    /// The system's random number generator failed.
+    pub(super) fn new(config: &config::Agreement, name: &str, log: &slog::Logger) -> io::Result<Agreement> {
+        // Below warnings raft logs each vote and append, which is of use only when debugging raft itself.
         let log = slog::LevelFilter::new(log.clone(), slog::Level::Warning).fuse();
         let log = slog::Logger::root(log, slog::o!("part" => "raft"));
-        let part = Part::new(name, &config.voters, u64::from_le_bytes(drawn()?), log);
-        Ok(Agree { folder: config.folder.clone(), part: RefCell::new(part), wake: Notify::new() })
+        let part = Part::new(name, &config.voters, u64::from_le_bytes(random_bytes()?), log);
+        Ok(Agreement { folder: config.folder.clone(), part: RefCell::new(part), wake: Notify::new() })
     }
 
-    /// Messages may have come.
+    /// Wakes the task that handles received messages.
     pub(super) fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// An operator wants the node drained: it asks, and drains once it is granted.
+    /// Handles an operator's drain command: requests a permit; the node drains once it is granted.
     pub(super) fn drain(&self, node: &Rc<Node>) -> Vec<u8> {
         let standing = node.broker.borrow().standing_by();
         if standing == Err(Unready::Ending) {
-            return admin::answer(409, "", "the node ends\n");
+            return admin::response(409, "", "the node ends\n");
         }
         let mut part = self.part.borrow_mut();
-        match drawn() {
+        match random_bytes() {
             Ok(number) => part.ask(u128::from_le_bytes(number)),
-            Err(error) => return admin::answer(503, "", &format!("{error}\n")),
+            Err(error) => return admin::response(503, "", &format!("{error}\n")),
         }
         self.wake.notify_one();
-        let told = part.asking().told().unwrap_or_default();
+        let status_text = part.asking().told().unwrap_or_default();
         let status = if standing == Err(Unready::Draining) { 200 } else { 202 };
-        admin::answer(status, "", &format!("{told}\n"))
+        admin::response(status, "", &format!("{status_text}\n"))
     }
 
-    /// The node takes clients again, or asks no more.
+    /// Handles an operator's resume command: returns the permit, or withdraws the request for one.
     pub(super) fn resume(&self) {
         self.part.borrow_mut().give_back();
         self.wake.notify_one();
     }
 
-    /// An operator sets a budget: it stands once it is in the log.
+    /// Proposes a drain budget; it is in force once the log has committed it.
     pub(super) fn set_budget(&self, scope: Scope, most: Most) -> Vec<u8> {
-        let asked = self.part.borrow_mut().set_budget(&Entry::Budget(scope, most));
+        let proposed = self.part.borrow_mut().set_budget(&Entry::Budget(scope, most));
         self.wake.notify_one();
-        match asked {
-            true => admin::answer(202, "", "asked; /-/permits shows it once it is agreed\n"),
-            false => admin::answer(503, "", "this node does not vote: ask a voter\n"),
+        match proposed {
+            true => admin::response(202, "", "asked; /-/permits shows it once it is agreed\n"),
+            false => admin::response(503, "", "this node does not vote: ask a voter\n"),
         }
     }
 
+    /// Builds the response of the permits endpoint.
     pub(super) fn permits(&self, name: &str) -> Vec<u8> {
-        admin::permits(name, &self.part.borrow())
+        admin::permits_response(name, &self.part.borrow())
     }
 }
 
-fn drawn<const BYTES: usize>() -> io::Result<[u8; BYTES]> {
+fn random_bytes<const BYTES: usize>() -> io::Result<[u8; BYTES]> {
     let mut bytes = [0; BYTES];
     getrandom::fill(&mut bytes).map_err(|error| io::Error::other(format!("no random number: {error}")))?;
     Ok(bytes)
 }
 
-/// Takes part until the link is closed.
-pub(super) async fn run(node: Rc<Node>, link: Rc<Link>, agree: Rc<Agree>) {
+/// Runs the agreement until the fleet link is closed.
+pub(super) async fn run(node: Rc<Node>, link: Rc<Link>, agree: Rc<Agreement>) {
     let part = &agree.part;
-    let votes = part.borrow().is_to_vote();
-    let folder = if votes { open(&node, &link, &agree).await } else { None };
+    let is_voter = part.borrow().is_to_vote();
+    let folder = if is_voter { open_folder(&node, &link, &agree).await } else { None };
     if let Some(folder) = &folder {
         match folder.read() {
             Ok(found) => part.borrow_mut().opened(found),
@@ -107,9 +108,9 @@
     }
     let mut ticks = tokio::time::interval(Duration::from_millis(TICK_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut looks = 0;
+    let mut next_view_ms = 0;
     while !link.is_closed() {
-        let ticked = tokio::select! {
+        let is_tick = tokio::select! {
             _ = ticks.tick() => true,
             () = agree.wake.notified() => false,
         };
@@ -118,42 +119,45 @@
         while let Some((from, bytes)) = link.beside() {
             part.borrow_mut().message(&from, &bytes);
         }
-        if ticked {
+        if is_tick {
             part.borrow_mut().tick(now);
         }
-        if now >= looks && part.borrow().wants_view() {
-            looks = now + LOOK_MS;
+        if now >= next_view_ms && part.borrow().wants_view() {
+            next_view_ms = now + VIEW_INTERVAL_MS;
             let seen = agreed::seen(&link.view(&node));
             part.borrow_mut().sees(&seen);
         }
-        carry_out(&node, &link, &agree, folder.as_ref()).await;
-        tell(&node, &agree);
+        execute_orders(&node, &link, &agree, folder.as_ref()).await;
+        log_notes(&node, &agree);
     }
 }
 
-fn tell(node: &Node, agree: &Agree) {
+/// Logs the notes of the agreement.
+fn log_notes(node: &Node, agree: &Agreement) {
     while let Some(note) = agree.part.borrow_mut().note() {
         match note {
-            Note::Votes { term } => info!(node.log, "votes"; "term" => term),
-            Note::Silent(why) => warn!(node.log, "does not vote"; "why" => why),
+            Note::Votes { term } => info!(node.log, "voting on drains"; "term" => term),
+            Note::Silent(why) => warn!(node.log, "not voting on drains"; "why" => why),
         }
     }
 }
 
-async fn open(node: &Node, link: &Link, agree: &Agree) -> Option<Arc<Folder>> {
-    for _ in 0..TRIES {
+/// Opens the folder of log and vote; tries again while the old process of an upgrade holds it.
+async fn open_folder(node: &Node, link: &Link, agree: &Agreement) -> Option<Arc<Folder>> {
+    for _ in 0..MAX_FOLDER_ATTEMPTS {
         match Folder::open(&agree.folder) {
             Ok(folder) => return Some(Arc::new(folder)),
             Err(_) if link.is_closed() => return None,
             Err(error) => agree.part.borrow_mut().stop(&error.to_string()),
         }
-        tell(node, agree);
-        tokio::time::sleep(AGAIN).await;
+        log_notes(node, agree);
+        tokio::time::sleep(FOLDER_RETRY_INTERVAL).await;
     }
     None
 }
 
-async fn carry_out(node: &Rc<Node>, link: &Rc<Link>, agree: &Agree, folder: Option<&Arc<Folder>>) {
+/// Executes the queued orders of the agreement, then those of the fleet link.
+async fn execute_orders(node: &Rc<Node>, link: &Rc<Link>, agree: &Agreement, folder: Option<&Arc<Folder>>) {
     let part = &agree.part;
     loop {
         let Some(order) = part.borrow_mut().order() else { break };
@@ -161,9 +165,9 @@
             (Order::Send(to, bytes), _) => link.send_beside(&to, &bytes),
             (Order::Drain(permit), _) => {
                 let done = node.with(|broker, now| broker.drain(now));
-                // Said at once: a later coming that is believed to serve would end the permit.
-                super::fleet::speak(node, link);
-                info!(node.log, "drains by a permit"; "permit" => permit, "done" => done);
+                // Announced at once: the permit is revoked if a later incarnation of this node is seen as serving.
+                super::fleet::announce(node, link);
+                info!(node.log, "draining on a permit"; "permit" => permit, "done" => done);
             }
             (Order::Found(founders), Some(folder)) => {
                 let folder = folder.clone();
@@ -175,8 +179,9 @@
                 }
             }
             (Order::Keep(work), Some(folder)) => {
-                // What need not wait for the disk goes now; clients are served meanwhile.
-                super::fleet::carry_out(node, link);
+                // Sends what need not wait for the disk. The write runs on a blocking thread, so clients are served
+                // meanwhile.
+                super::fleet::execute_orders(node, link);
                 let folder = folder.clone();
                 let done = tokio::task::spawn_blocking(move || folder.keep(&work)).await;
                 match done.map_err(|error| error.to_string()).and_then(|done| done.map_err(|e| e.to_string()))
@@ -188,5 +193,5 @@
             (Order::Found(_) | Order::Keep(_), None) => part.borrow_mut().stop("it has no folder"),
         }
     }
-    super::fleet::carry_out(node, link);
+    super::fleet::execute_orders(node, link);
 }
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,5 +1,5 @@
-//! The link to the fleet: one port for datagrams and exchanges. What is known and decided is `hopmoor_fleet`'s; this
-//! reads, writes and keeps the time.
+//! Driver of the fleet's gossip: one port for UDP datagrams and for TCP exchanges of whole views. State and decisions
+//! are in `hopmoor_fleet`, which does no I/O.
 
 use super::{Node, agree, listen};
 use crate::admin;
@@ -21,53 +21,60 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::Notify;
 
-/// Exchanges at once, begun here or by others; more are turned away: they come again. Guards against callers that
-/// hold descriptors and memory.
-const EXCHANGES: usize = 8;
-/// Descriptors that the link may take: its two sockets and the exchanges.
-pub(super) const DESCRIPTORS: usize = EXCHANGES + 2;
-/// An exchange of the largest frames takes less on the slowest link that is still of use.
-const EXCHANGE: Duration = Duration::from_secs(5);
-/// Whoever does not take the connection by then is not there.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Datagrams read in one go, so that a flood of them leaves time for clients.
-const BATCH: usize = 64;
-/// Datagrams that are read before time goes on: after a pause they tell who is alive. As many as a buffer holds.
-const WAITING: usize = 1_024;
-/// How often the node looks whether it has something new to say of itself.
-const LOOK: Duration = Duration::from_millis(200);
-/// One line about what was refused in so long.
-const REFUSED_MS: f64 = 10_000.0;
-/// A port that the old process of an upgrade still holds is tried this often.
-const AGAIN: Duration = Duration::from_millis(100);
-/// Ports tried for one that is free for datagrams and connections both, where the system picks.
-const TRIES: usize = 16;
-/// The largest datagram, and one byte to tell what is longer.
-const BUFFER: usize = hopmoor_fleet::DATAGRAM + 1;
+/// Maximum number of concurrent exchanges, in both directions together. Further ones are dropped, as nodes repeat
+/// them. Guards against peers that hold descriptors and memory.
+const MAX_EXCHANGES: usize = 8;
+/// Descriptors reserved for the link: its two sockets and the exchanges.
+pub(super) const RESERVED_DESCRIPTORS: usize = MAX_EXCHANGES + 2;
+/// An exchange of frames of the largest size takes less than this on the slowest link that is still usable.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A node that has not accepted a connection after this time is taken to be unreachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of datagrams read in a row, so that a flood of them leaves time for clients.
+const MAX_DATAGRAMS_PER_READ: usize = 64;
+/// Maximum number of queued datagrams read before a timer fires, as many as the socket buffer holds. After a pause
+/// of this process they show which nodes are alive, before time-outs declare these dead.
+const MAX_DATAGRAMS_BEFORE_TICK: usize = 1_024;
+/// Interval at which the node checks whether its announced status has changed.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between log lines about refused messages.
+const REFUSED_LOG_INTERVAL_MS: f64 = 10_000.0;
+/// Interval between attempts to bind the port while the old process of an upgrade still holds it.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of attempts to find a port that is free for both UDP and TCP, where the system picks the port.
+const MAX_BIND_ATTEMPTS: usize = 16;
+/// Receive buffer: the largest datagram, and one byte more to detect longer ones.
+const RECEIVE_BUFFER_BYTES: usize = hopmoor_fleet::DATAGRAM + 1;
 
-/// Both sockets of the one port.
+/// The UDP and the TCP socket of the fleet port.
 pub(super) struct Ports {
     udp: UdpSocket,
     tcp: TcpListener,
 }
 
-/// What the node and its link share.
+/// The link to the fleet, shared by the tasks that use it.
 pub(super) struct Link {
     fleet: RefCell<Fleet>,
-    /// The driver's: when that ends the port is free, whatever exchanges are still under way.
+    /// Owned by the driver task: when that ends the port is free, even while exchanges are under way.
     udp: Weak<UdpSocket>,
+    /// The status that the node last announced.
     said: RefCell<Said>,
+    /// The file of fleet keys.
     keys: PathBuf,
+    /// The configuration files, for their digest.
     files: Vec<PathBuf>,
+    /// The local address of the port.
     from: IpAddr,
+    /// Exchanges under way.
     exchanges: Cell<usize>,
     wake: Notify,
     closed: Cell<bool>,
+    /// When the last line about a refused message was logged, and how many were refused since.
     refused: Cell<(f64, u64)>,
-    /// How many nodes the broker was told to share with.
+    /// Number of nodes sharing the pool, as last passed to the broker.
     sharing: Cell<Option<u32>>,
-    /// Drains are asked of the fleet.
-    pub(super) agree: Option<Rc<agree::Agree>>,
+    /// The drain agreement, if drains need the fleet's permit.
+    pub(super) agree: Option<Rc<agree::Agreement>>,
 }
 
 impl Link {
@@ -83,29 +90,31 @@
         self.closed.get()
     }
 
-    /// Sends something that is not of the view; it goes out with the next orders that are carried out.
+    /// Queues a message that is not part of gossip, such as Raft's; it is sent with the next [`execute_orders`].
     pub(super) fn send_beside(&self, to: &str, bytes: &[u8]) {
         self.fleet.borrow_mut().send_beside(to, bytes);
     }
 
+    /// The next received message that is not part of gossip, with its sender's name.
     pub(super) fn beside(&self) -> Option<(Name, Vec<u8>)> {
         self.fleet.borrow_mut().beside()
     }
 
     pub(super) fn metrics(&self) -> String {
         let fleet = self.fleet.borrow();
-        admin::fleet_metrics(fleet.counts(), &fleet.figures())
+        admin::format_fleet_metrics(fleet.counts(), &fleet.figures())
     }
 }
 
-/// Takes the port. `None` if it is still the old process's and may be waited for.
-pub(super) fn bind(config: &config::Fleet, waits: bool) -> io::Result<Option<Ports>> {
+/// Binds the fleet port. Returns `None` if `may_wait` and another process still holds it, as the old process of an
+/// upgrade does.
+pub(super) fn bind(config: &config::Fleet, may_wait: bool) -> io::Result<Option<Ports>> {
     let about =
         |error: io::Error| io::Error::new(error.kind(), format!("fleet.listen: {}: {error}", config.listen));
-    for _ in 0..TRIES {
+    for _ in 0..MAX_BIND_ATTEMPTS {
         let udp = match std::net::UdpSocket::bind(config.listen) {
             Ok(udp) => udp,
-            Err(error) if waits && error.kind() == io::ErrorKind::AddrInUse => return Ok(None),
+            Err(error) if may_wait && error.kind() == io::ErrorKind::AddrInUse => return Ok(None),
             Err(error) => return Err(about(error)),
         };
         udp.set_nonblocking(true).map_err(about)?;
@@ -114,20 +123,20 @@
             Ok(tcp) => return Ok(Some(Ports { udp: UdpSocket::from_std(udp).map_err(about)?, tcp })),
             // The system picked a port for datagrams that is taken for connections.
             Err(error) if error.kind() == io::ErrorKind::AddrInUse && config.listen.port() == 0 => {}
-            Err(error) if waits && error.kind() == io::ErrorKind::AddrInUse => return Ok(None),
+            Err(error) if may_wait && error.kind() == io::ErrorKind::AddrInUse => return Ok(None),
             Err(error) => return Err(about(error)),
         }
     }
     Err(about(io::ErrorKind::AddrInUse.into()))
 }
 
-/// What the node says of itself before anything has happened.
-pub(super) fn first_word(
+/// The status that the node announces at its start.
+pub(super) fn initial_status(
     config: &config::Fleet,
     clients: &TcpListener,
     admin: Option<&TcpListener>,
 ) -> io::Result<Said> {
-    // One whose file can't be read any more has no digest, and says none.
+    // The digest is left empty if the program's file can't be read any more.
     let program = std::env::current_exe().and_then(std::fs::read);
     Ok(Said {
         zone: config.zone.clone(),
@@ -139,36 +148,38 @@
     })
 }
 
+/// The digest of the configuration files' contents.
 fn digest(files: &[PathBuf]) -> io::Result<Vec<u8>> {
-    let read: Vec<Vec<u8>> = files.iter().map(std::fs::read).collect::<io::Result<_>>()?;
-    Ok(word::digest(read.iter().map(Vec::as_slice)))
+    let contents: Vec<Vec<u8>> = files.iter().map(std::fs::read).collect::<io::Result<_>>()?;
+    Ok(word::digest(contents.iter().map(Vec::as_slice)))
 }
 
-/// Begins to talk to the fleet, as soon as the port is this process's.
-pub(super) fn begin(node: &Rc<Node>, config: &config::Fleet, name: &str, ports: Option<Ports>, said: Said) {
+/// Starts the link, once the port can be bound if `ports` is `None`.
+pub(super) fn spawn(node: &Rc<Node>, config: &config::Fleet, name: &str, ports: Option<Ports>, said: Said) {
     let (node, config, name) = (node.clone(), config.clone(), name.to_owned());
     tokio::task::spawn_local(async move {
         let ports = match ports {
             Some(ports) => ports,
             None => {
-                info!(node.log, "fleet waits for its port"; "address" => %config.listen);
+                info!(node.log, "waiting for the fleet port, which is in use"; "address" => %config.listen);
                 loop {
-                    tokio::time::sleep(AGAIN).await;
+                    tokio::time::sleep(BIND_RETRY_INTERVAL).await;
                     match bind(&config, true) {
                         Ok(Some(ports)) => break ports,
                         Ok(None) => {}
-                        Err(error) => return warn!(node.log, "fleet off"; "error" => %error),
+                        Err(error) => return warn!(node.log, "fleet link stopped"; "error" => %error),
                     }
                 }
             }
         };
         if let Err(error) = run(&node, &config, &name, ports, said).await {
-            warn!(node.log, "fleet off"; "error" => %error);
+            warn!(node.log, "fleet link stopped"; "error" => %error);
             node.fleet.borrow_mut().take();
         }
     });
 }
 
+/// Runs the link until it is closed.
 async fn run(
     node: &Rc<Node>,
     config: &config::Fleet,
@@ -187,7 +198,7 @@
     let id = Id::new(name, incarnation, config.advertise.unwrap_or(address));
     info!(node.log, "in a fleet"; "address" => %address, "advertise" => %id.address, "as" => incarnation);
     let setup = Setup { id, seeds: config.seeds.clone(), keys, seed };
-    let agree = config.agree.as_ref().map(|config| agree::Agree::new(config, name, &node.log));
+    let agree = config.agree.as_ref().map(|config| agree::Agreement::new(config, name, &node.log));
     let agree = agree.transpose()?.map(Rc::new);
     let link = Rc::new(Link {
         fleet: RefCell::new(Fleet::new(now, setup, said.clone())),
@@ -207,11 +218,11 @@
     if let Some(agree) = &link.agree {
         tokio::task::spawn_local(agree::run(node.clone(), link.clone(), agree.clone()));
     }
-    let mut looks = tokio::time::interval(LOOK);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut buffer = [0; BUFFER];
+    let mut announcements = tokio::time::interval(ANNOUNCE_INTERVAL);
+    announcements.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     while !link.closed.get() {
-        carry_out(node, &link);
+        execute_orders(node, &link);
         let due = link.fleet.borrow().next_due();
         let sleep = async {
             match due {
@@ -222,22 +233,22 @@
         tokio::select! {
             ready = udp.readable() => {
                 ready?;
-                read(node, &link, &udp, &mut buffer, BATCH);
+                read_datagrams(node, &link, &udp, &mut buffer, MAX_DATAGRAMS_PER_READ);
             }
             accepted = tcp.accept() => match accepted {
-                Ok((stream, _)) => answer(node, &link, stream),
+                Ok((stream, _)) => accept_exchange(node, &link, stream),
                 Err(error) => {
                     warn!(node.log, "accept failed"; "error" => %error, "listener" => "fleet");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             },
-            _ = looks.tick() => speak(node, &link),
+            _ = announcements.tick() => announce(node, &link),
             () = sleep => {}
             () = link.wake.notified() => {}
         }
         let now = node.clock.now() as u64;
         if link.fleet.borrow().next_due().is_some_and(|due| due <= now) {
-            read(node, &link, &udp, &mut buffer, WAITING);
+            read_datagrams(node, &link, &udp, &mut buffer, MAX_DATAGRAMS_BEFORE_TICK);
             link.fleet.borrow_mut().tick(now);
         }
         match &link.agree {
@@ -245,64 +256,68 @@
             Some(_) => {}
             None => while link.beside().is_some() {},
         }
-        // Clients come in their turn, however many datagrams wait.
+        // Gives client tasks a turn, however many datagrams are queued.
         tokio::task::yield_now().await;
     }
     Ok(())
 }
 
-fn read(node: &Rc<Node>, link: &Link, udp: &UdpSocket, buffer: &mut [u8], most: usize) {
+/// Reads up to `limit` queued datagrams.
+fn read_datagrams(node: &Rc<Node>, link: &Link, udp: &UdpSocket, buffer: &mut [u8], limit: usize) {
     let now = node.clock.now() as u64;
-    for _ in 0..most {
+    for _ in 0..limit {
         match udp.try_recv_from(buffer) {
             Ok((length, from)) => {
                 let taken = link.fleet.borrow_mut().datagram(now, buffer.get(..length).unwrap_or_default());
                 if let Err(why) = taken {
-                    refused(node, link, from, why);
+                    log_refused(node, link, from, why);
                 }
             }
-            // On Linux a datagram that nobody took shows as an error on the next call: it is not about this one.
+            // On Linux the ICMP error for an earlier datagram to a closed port is reported by the next call.
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
             Err(_) => return,
         }
     }
 }
 
-/// One line in a while, with how many there were: guards against floods that fill the log.
-fn refused(node: &Node, link: &Link, from: SocketAddr, why: Refused) {
+/// Logs a refused message, at most one per [`REFUSED_LOG_INTERVAL_MS`], with the number refused since the line
+/// before. Guards against floods that fill the log.
+fn log_refused(node: &Node, link: &Link, from: SocketAddr, why: Refused) {
     let (last, held) = link.refused.get();
     let now = node.clock.now();
-    if now - last < REFUSED_MS {
+    if now - last < REFUSED_LOG_INTERVAL_MS {
         return link.refused.set((last, held + 1));
     }
     link.refused.set((now, 0));
     warn!(node.log, "fleet refused a message"; "from" => %from, "why" => %why, "before" => held);
 }
 
-pub(super) fn carry_out(node: &Rc<Node>, link: &Rc<Link>) {
+/// Executes the queued orders of the fleet view and handles its events.
+pub(super) fn execute_orders(node: &Rc<Node>, link: &Rc<Link>) {
     loop {
         let order = link.fleet.borrow_mut().order();
         match order {
-            // What the socket does not take at once is lost, as on any link.
+            // A datagram that the socket does not take at once is lost, as any datagram may be.
             Some(Order::Send(to, bytes)) => {
                 if let Some(udp) = link.udp.upgrade() {
                     let _ = udp.try_send_to(&bytes, to);
                 }
             }
-            Some(Order::Call(to)) => call(node, link, to),
+            Some(Order::Call(to)) => start_exchange(node, link, to),
             None => break,
         }
     }
     loop {
         let event = link.fleet.borrow_mut().event();
         match event {
-            Some(event) => tell(node, event),
+            Some(event) => handle_event(node, event),
             None => break,
         }
     }
 }
 
-fn tell(node: &Rc<Node>, event: Event) {
+/// Logs an event of the fleet view and passes it to the broker.
+fn handle_event(node: &Rc<Node>, event: Event) {
     let note = |id: &Id, state| {
         node.broker.borrow_mut().neighbour(node.clock.now(), &id.name, state, id.incarnation);
     };
@@ -319,68 +334,70 @@
         }
         Event::Again(id) => {
             note(&id, NeighbourState::Alive);
-            info!(node.log, "fleet node again"; "name" => &*id.name, "as" => id.incarnation,
+            info!(node.log, "fleet node has a new incarnation"; "name" => &*id.name, "as" => id.incarnation,
                 "at" => %id.address);
         }
         Event::Returned(id) => {
-            warn!(node.log, "held dead by others, and back"; "as" => id.incarnation);
+            warn!(node.log, "rejoined the fleet after other nodes declared this node dead"; "as" => id.incarnation);
         }
         Event::SteppedBack(id) => {
-            warn!(node.log, "stepped back: a later process has this name"; "as" => id.incarnation,
+            warn!(node.log, "not ready: a newer process uses this node's name"; "as" => id.incarnation,
                 "at" => %id.address);
             node.broker.borrow_mut().set_superseded(true);
         }
         Event::Resumed(id) => {
-            info!(node.log, "has its name again"; "as" => id.incarnation);
+            info!(node.log, "newer process with this node's name is gone"; "as" => id.incarnation);
             node.broker.borrow_mut().set_superseded(false);
         }
-        Event::Stalled(ms) => warn!(node.log, "stood still"; "ms" => ms),
-        Event::Full => warn!(node.log, "fleet view full"; "most" => hopmoor_fleet::MOST),
+        Event::Stalled(ms) => warn!(node.log, "process was paused"; "ms" => ms),
+        Event::Full => {
+            warn!(node.log, "fleet view full, ignoring further nodes"; "most" => hopmoor_fleet::MOST)
+        }
     }
 }
 
-/// Says what has changed of this node.
-pub(super) fn speak(node: &Rc<Node>, link: &Link) {
+/// Announces this node's status if it has changed, and passes the number of nodes sharing the pool to the broker.
+pub(super) fn announce(node: &Rc<Node>, link: &Link) {
     let ready = match node.broker.borrow().standing_by() {
         Ok(()) => Ready::Serving,
         Err(Unready::Draining) => Ready::Draining,
         Err(Unready::Ending) => Ready::Ending,
         Err(Unready::NoList | Unready::NoMember | Unready::Superseded) => Ready::NotReady,
     };
-    let (room, most) = node.descriptors.borrow().room();
+    let (room, capacity) = node.descriptors.borrow().room();
     let mut said = link.said.borrow_mut();
     said.ready = ready;
     said.up_ms = (node.clock.now() - node.clock.base) as u64;
-    said.room = word::room(said.room, room as u32, most as u32);
+    said.room = word::room(said.room, room as u32, capacity as u32);
     link.fleet.borrow_mut().say(said.clone());
     let sharing = link.fleet.borrow().sharing(node.clock.now() as u64);
     if let Some(nodes) = sharing.filter(|_| sharing != link.sharing.replace(sharing)) {
-        info!(node.log, "nodes share the pool"; "nodes" => nodes);
+        info!(node.log, "number of nodes sharing the pool changed"; "nodes" => nodes);
         node.with(|broker, now| broker.sharing(now, nodes));
     }
 }
 
-/// Keys and configuration were read anew.
+/// Reloads the fleet keys and updates the announced digest of the configuration.
 pub(super) fn reload(node: &Rc<Node>) {
     let Some(link) = node.fleet.borrow().clone() else { return };
     match operator::fleet_keys(&link.keys) {
         Ok(keys) => {
-            info!(node.log, "fleet keys taken");
+            info!(node.log, "fleet keys reloaded");
             link.fleet.borrow_mut().set_keys(keys);
         }
-        Err(error) => warn!(node.log, "fleet keys not taken"; "error" => %error),
+        Err(error) => warn!(node.log, "fleet keys not reloaded"; "error" => %error),
     }
     match digest(&link.files) {
         Ok(digest) => link.said.borrow_mut().config = digest,
-        Err(error) => warn!(node.log, "configuration has no digest"; "error" => %error),
+        Err(error) => warn!(node.log, "configuration digest not updated"; "error" => %error),
     }
-    speak(node, &link);
+    announce(node, &link);
     link.wake.notify_one();
 }
 
-/// The node was told to end. In an upgrade the port is the new process's from now on, and nothing is said: the node
-/// stays.
-pub(super) fn leaving(node: &Rc<Node>, passed: bool) {
+/// Handles the start of shutdown. In an upgrade (`passed`) the link is closed without a leave message: the new process
+/// takes over port and name, so the node stays in the fleet. Otherwise the new status is announced.
+pub(super) fn begin_shutdown(node: &Rc<Node>, passed: bool) {
     if passed {
         if let Some(link) = node.fleet.borrow_mut().take() {
             link.closed.set(true);
@@ -391,22 +408,22 @@
     }
 }
 
-/// The node ends now.
+/// Leaves the fleet at the end of shutdown.
 pub(super) fn leave(node: &Rc<Node>) {
     if let Some(link) = node.fleet.borrow_mut().take() {
         link.fleet.borrow_mut().leave(node.clock.now() as u64);
-        carry_out(node, &link);
+        execute_orders(node, &link);
         link.closed.set(true);
     }
 }
 
-/// A descriptor of an exchange; it is given back however that ends.
+/// Counts one exchange against [`MAX_EXCHANGES`] until it is dropped, however the exchange ends.
 struct ExchangeSlot(Rc<Link>);
 
 impl ExchangeSlot {
     fn take(link: &Rc<Link>) -> Option<ExchangeSlot> {
         let taken = link.exchanges.get();
-        (taken < EXCHANGES).then(|| {
+        (taken < MAX_EXCHANGES).then(|| {
             link.exchanges.set(taken + 1);
             ExchangeSlot(link.clone())
         })
@@ -419,37 +436,39 @@
     }
 }
 
-fn call(node: &Rc<Node>, link: &Rc<Link>, to: SocketAddr) {
+/// Starts an exchange with the node at `to`.
+fn start_exchange(node: &Rc<Node>, link: &Rc<Link>, to: SocketAddr) {
     let Some(slot) = ExchangeSlot::take(link) else { return };
     let node = node.clone();
     tokio::task::spawn_local(async move {
         let link = &slot.0;
-        let _ = tokio::time::timeout(EXCHANGE, async {
+        let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, async {
             let socket = if to.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
             if !link.from.is_unspecified() && link.from.is_ipv4() == to.is_ipv4() {
-                // So that a relay between the nodes knows the caller.
+                // Lets a proxy between the nodes identify the caller by its address.
                 socket.bind(SocketAddr::new(link.from, 0))?;
             }
-            let mut stream = tokio::time::timeout(CONNECT, socket.connect(to)).await??;
+            let mut stream = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(to)).await??;
             let Some((exchange, hello)) = link.fleet.borrow_mut().call() else { return Ok(()) };
-            write(&mut stream, &hello).await?;
-            exchanged(&node, link, stream, exchange).await
+            write_frame(&mut stream, &hello).await?;
+            run_exchange(&node, link, stream, exchange).await
         })
         .await;
     });
 }
 
-fn answer(node: &Rc<Node>, link: &Rc<Link>, stream: TcpStream) {
+/// Handles an exchange that another node has started.
+fn accept_exchange(node: &Rc<Node>, link: &Rc<Link>, stream: TcpStream) {
     let Some(slot) = ExchangeSlot::take(link) else { return };
     let node = node.clone();
     tokio::task::spawn_local(async move {
         let exchange = slot.0.fleet.borrow_mut().answer();
-        let _ = tokio::time::timeout(EXCHANGE, exchanged(&node, &slot.0, stream, exchange)).await;
+        let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, run_exchange(&node, &slot.0, stream, exchange)).await;
     });
 }
 
-/// Reads and writes frames until both sides have what they need.
-async fn exchanged(
+/// Reads and writes frames until the exchange is complete.
+async fn run_exchange(
     node: &Rc<Node>,
     link: &Rc<Link>,
     mut stream: TcpStream,
@@ -460,10 +479,10 @@
     while !on.is_done() {
         let length = stream.read_u32_le().await? as usize;
         if length > FRAME + hopmoor_seal::OVERHEAD {
-            refused(node, link, from, Refused::Malformed);
+            log_refused(node, link, from, Refused::Malformed);
             break;
         }
-        // Grows with what comes, not with what is announced.
+        // The buffer grows with the bytes received, not with the length announced.
         let mut frame = Vec::new();
         (&mut stream).take(length as u64).read_to_end(&mut frame).await?;
         if frame.len() < length {
@@ -472,10 +491,10 @@
         let taken = link.fleet.borrow_mut().frame(node.clock.now() as u64, &mut on, &frame);
         link.wake.notify_one();
         match taken {
-            Ok(Some(answer)) => write(&mut stream, &answer).await?,
+            Ok(Some(reply)) => write_frame(&mut stream, &reply).await?,
             Ok(None) => {}
             Err(why) => {
-                refused(node, link, from, why);
+                log_refused(node, link, from, why);
                 break;
             }
         }
@@ -483,7 +502,8 @@
     stream.shutdown().await
 }
 
-async fn write(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
+/// Writes a frame after its length.
+async fn write_frame(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
     stream.write_u32_le(frame.len() as u32).await?;
     stream.write_all(frame).await
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -318,8 +318,8 @@
         }
         None => None,
     };
-    let fleet_descriptors = if config.fleet.is_some() { fleet::DESCRIPTORS } else { 0 };
-    let kept_back = if admin.is_some() { admin::DESCRIPTORS } else { 0 } + fleet_descriptors;
+    let fleet_descriptors = if config.fleet.is_some() { fleet::RESERVED_DESCRIPTORS } else { 0 };
+    let kept_back = if admin.is_some() { admin::RESERVED_DESCRIPTORS } else { 0 } + fleet_descriptors;
     let node = Rc::new(Node {
         clock,
         log,
@@ -348,8 +348,8 @@
     info!(node.log, "listening"; "name" => &config.name, "address" => %listener.local_addr()?,
         "version" => env!("CARGO_PKG_VERSION"));
     if let Some(fleet) = &config.fleet {
-        let said = fleet::first_word(fleet, &listener, admin.as_ref())?;
-        fleet::begin(&node, fleet, &config.name, ports, said);
+        let said = fleet::initial_status(fleet, &listener, admin.as_ref())?;
+        fleet::spawn(&node, fleet, &config.name, ports, said);
     }
     if let Some(admin) = admin {
         info!(node.log, "operators may call"; "address" => %admin.local_addr()?);
@@ -409,7 +409,7 @@
 /// Goes on serving while clients are moved, and ends when none is left.
 async fn leave(node: &Rc<Node>, passed: bool) {
     let began = node.clock.now();
-    fleet::leaving(node, passed);
+    fleet::begin_shutdown(node, passed);
     if passed {
         // Another process accepts on the same queue: what is not accepted yet is for that one.
         node.closed.notify_one();
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -61,7 +61,7 @@
 }
 
 impl RawAgree {
-    fn check(self, name: &str, above: &Path, wrong: &mut Vec<String>) -> config::Agree {
+    fn check(self, name: &str, above: &Path, wrong: &mut Vec<String>) -> config::Agreement {
         let RawAgree { voters, folder } = self;
         let names: std::collections::BTreeSet<&String> = voters.iter().collect();
         if ![1, 3, 5, 7].contains(&voters.len()) || names.len() < voters.len() {
@@ -74,7 +74,7 @@
         if folder.is_none() && voters.iter().any(|voter| voter == name) {
             wrong.push("fleet.agree.folder: wanted, since this node votes".into());
         }
-        config::Agree { voters, folder: above.join(folder.unwrap_or_default()) }
+        config::Agreement { voters, folder: above.join(folder.unwrap_or_default()) }
     }
 }
 
