--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -3,7 +3,7 @@
 
 use crate::identity::{Id, Millis};
 use crate::wire::{Entry, Frame, Told};
-use crate::{Due, Event, FORGET_MS, Fleet, MOST, Message, Order, Refused};
+use crate::{Action, Due, Event, FORGET_MS, Fleet, MAX_KNOWN_NODES, Message, Refused};
 use foca::{Member, State};
 use hopmoor_seal::Kind;
 use rand::RngExt;
@@ -59,7 +59,7 @@
 impl Fleet {
     /// Whether the view has stood for a while, so that more may rest on it.
     pub fn is_settled(&self, now: Millis) -> bool {
-        self.settling.settled(now) && !self.coming.stepped_back()
+        self.settling.settled(now) && !self.rejoin.stepped_back()
     }
 
     /// The view changes: exchanges follow each other quickly for a while.
@@ -104,7 +104,7 @@
         }
         let at = self.rng.random_range(0..from.len());
         if let Some(address) = from.get(at) {
-            self.orders.push_back(Order::Call(*address));
+            self.orders.push_back(Action::Call(*address));
         }
     }
 
@@ -151,10 +151,10 @@
         bytes: &[u8],
     ) -> Result<Option<Vec<u8>>, Refused> {
         self.awake(now);
-        self.figures.bytes_in += bytes.len() as u64;
+        self.stats.bytes_in += bytes.len() as u64;
         let taken = self.take_frame(now, on, bytes);
         if taken.is_err() {
-            self.figures.refused += 1;
+            self.stats.refused += 1;
             on.done = true;
         }
         taken
@@ -169,7 +169,7 @@
         let plain = hopmoor_seal::open(&self.keys, Kind::Frame, bytes)?;
         match (Frame::read(&plain)?, on.salt) {
             (Frame::Hello { digest, salt, .. }, None) => {
-                self.figures.exchanges += 1;
+                self.stats.exchanges += 1;
                 if digest == self.digest() {
                     on.done = true;
                     return Ok(self.sealed(&Frame::Same { salt }));
@@ -203,7 +203,7 @@
         let plain = frame.write()?;
         let nonce = self.nonce();
         let sealed = hopmoor_seal::seal(&self.keys, Kind::Frame, &plain, nonce)?;
-        self.figures.bytes_out += sealed.len() as u64;
+        self.stats.bytes_out += sealed.len() as u64;
         Some(sealed)
     }
 
@@ -215,7 +215,7 @@
             refuted,
             state,
             dead_ms: self.died.get(&id.name).map_or(0, |since| now.saturating_sub(*since)),
-            word: words.get(&id.name).cloned(),
+            node_info: words.get(&id.name).cloned(),
         };
         let mut entries = Vec::new();
         match self.superseded_by() {
@@ -239,10 +239,11 @@
     fn absorb(&mut self, now: Millis, entries: Vec<Entry>) {
         let mut news = Vec::new();
         let mut dead = Vec::new();
-        let mut room = MOST.saturating_sub(self.foca.iter_membership_state().len());
-        for Entry { id, refuted, state, dead_ms, word } in entries {
-            let left =
-                word.as_ref().is_some_and(|word| word.incarnation == id.incarnation && word.tells_left());
+        let mut room = MAX_KNOWN_NODES.saturating_sub(self.foca.iter_membership_state().len());
+        for Entry { id, refuted, state, dead_ms, node_info } in entries {
+            let left = node_info
+                .as_ref()
+                .is_some_and(|node_info| node_info.incarnation == id.incarnation && node_info.tells_left());
             if id.name == self.id.name {
                 match state {
                     Told::Dead if id == self.id => self.held_dead(now),
@@ -285,8 +286,8 @@
                 }
                 Some(_) => {}
             }
-            if let Some(word) = word
-                && self.words.borrow_mut().take(word)
+            if let Some(node_info) = node_info
+                && self.words.borrow_mut().take(node_info)
             {
                 self.unsettled(now);
             }
--- a/crates/fleet/src/hearsay.rs
+++ b/crates/fleet/src/gossip_filter.rs
@@ -2,7 +2,7 @@
 //! a node that has just come.
 
 use crate::identity::{Id, Millis};
-use crate::{Event, Fleet, MOST};
+use crate::{Event, Fleet, MAX_KNOWN_NODES};
 use foca::{Member, State};
 
 /// A node that is known for less is believed no death, only a suspicion: it may have started in a part of the fleet that
@@ -15,7 +15,7 @@
     /// What is to be taken of a datagram; `None` if all of it is.
     pub(crate) fn believed(&mut self, now: Millis, data: &[u8]) -> Option<Vec<u8>> {
         let (header, rest): (foca::Header<Id>, _) = postcard::take_from_bytes(data).ok()?;
-        let full = self.foca.iter_membership_state().len() >= MOST;
+        let full = self.foca.iter_membership_state().len() >= MAX_KNOWN_NODES;
         if full {
             if !std::mem::replace(&mut self.full, true) {
                 self.events.push_back(Event::Full);
@@ -44,7 +44,7 @@
                 .is_some_and(|peer| now.saturating_sub(peer.heard) < HEARD_MS);
             // One that goes says so itself: that is no death.
             let goes = *member.id() == header.src
-                || self.words.borrow().of(member.id()).is_some_and(|word| word.tells_left());
+                || self.words.borrow().of(member.id()).is_some_and(|node_info| node_info.tells_left());
             let member = match member.state() {
                 State::Down if lives && !goes && (new || heard) => {
                     changed = true;
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -11,26 +11,26 @@
 /// A node's doubts in itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    doubts: u32,
+    health_score: u32,
 }
 
 impl Health {
-    pub(crate) fn doubts(self) -> u32 {
-        self.doubts
+    pub(crate) fn health_score(self) -> u32 {
+        self.health_score
     }
 
     /// A span, stretched by the doubts.
     pub(crate) fn stretched(self, span: Millis) -> Millis {
-        span * Millis::from(1 + self.doubts)
+        span * Millis::from(1 + self.health_score)
     }
 
     /// It stood still, a probe found nobody, or somebody that it suspected is alive.
     pub(crate) fn doubt(&mut self) {
-        self.doubts = (self.doubts + 1).min(MOST);
+        self.health_score = (self.health_score + 1).min(MOST);
     }
 
     /// A probe was answered.
     pub(crate) fn trust(&mut self) {
-        self.doubts = self.doubts.saturating_sub(1);
+        self.health_score = self.health_score.saturating_sub(1);
     }
 }
--- a/crates/fleet/src/identity.rs
+++ b/crates/fleet/src/identity.rs
@@ -86,7 +86,7 @@
 impl foca::Identity for Id {
     type Addr = Key;
 
-    /// When and as whom to come again is decided in `coming`, not in the library: it would come again at once, each
+    /// When and as whom to come again is decided in `rejoin`, not in the library: it would come again at once, each
     /// time it is told that it is dead.
     fn renew(&self) -> Option<Id> {
         None
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,11 +2,11 @@
 //! datagrams, frames, commands and time, and yields datagrams, calls, timers and events.
 //!
 //! - [`identity`]: who a node is.
-//! - [`word`]: what a node says of itself, and how the last one stands.
+//! - [`node_info`]: what a node says of itself, and how the last one stands.
 //! - `wire`: datagrams and frames. `replay`: datagrams that come twice.
 //! - `health`: when a node doubts itself. `timers`: what is due, and that time stands still while the node does.
-//! - `coming`: coming again after being held dead, and two processes of one name.
-//! - `hearsay`: what of a datagram is believed.
+//! - `rejoin`: coming again after being held dead, and two processes of one name.
+//! - `gossip_filter`: what of a datagram is believed.
 //! - `exchange`: what settles two views that differ.
 //! - `sharing`: how many nodes share the pool.
 //! - `view`: the view as operators and the node read it, and its digest.
@@ -14,11 +14,12 @@
 //! Membership itself is SWIM by `foca`. What this does not do: agree. A view is one node's belief, late by a second or
 //! two; no promise may rest on it. `docs/fleet-view.md` has the design, the wire and the figures.
 
-mod coming;
 mod exchange;
+mod gossip_filter;
 mod health;
-mod hearsay;
 pub mod identity;
+pub mod node_info;
+mod rejoin;
 mod replay;
 mod sharing;
 #[cfg(test)]
@@ -26,17 +27,17 @@
 mod timers;
 mod view;
 mod wire;
-pub mod word;
 
 pub use exchange::Exchange;
 pub use identity::{Id, Millis, Name};
-pub use view::{Figures, Seen, State, View};
-pub use wire::{DATAGRAM, FRAME};
-pub use word::{Ready, Said};
+pub use node_info::{NodeInfo, Readiness};
+pub use view::{NodeView, State, Stats, View};
+pub use wire::{MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 
 use foca::{BroadcastHandler, Foca, Invalidates, Notification, PostcardCodec, Timer};
 use health::{Health, STALL_MS};
 use hopmoor_seal::{Keys, Kind, NONCE_BYTES, Unsealed};
+use node_info::{Word, Words};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use replay::Window;
@@ -48,10 +49,9 @@
 use std::time::Duration;
 use timers::Timers;
 use wire::{Message, Unread};
-use word::{Word, Words};
 
 /// Nodes that are known at once, the dead ones included. Guards against made-up names from a node that has the key.
-pub const MOST: usize = 4_096;
+pub const MAX_KNOWN_NODES: usize = 4_096;
 /// Probes come this often: see the table of times in `docs/fleet-view.md`.
 const PROBE_MS: u64 = 200;
 /// An answer within this spares the way over others.
@@ -98,13 +98,13 @@
     /// A node is held dead, or has left.
     Down(Id, State),
     /// A node has come again, as another incarnation.
-    Again(Id),
+    NewIncarnation(Id),
     /// This node was held dead by others and has come again.
-    Returned(Id),
+    Rejoined(Id),
     /// A later process has this node's name: this one steps back.
-    SteppedBack(Id),
+    NameTaken(Id),
     /// The later process is no more: this one has the name again.
-    Resumed(Id),
+    NameRegained(Id),
     /// This node stood still for so long; the time of its view did, too.
     Stalled(Millis),
     /// So many names came that there is no room for more: told once.
@@ -113,7 +113,7 @@
 
 /// Something to send, call or do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Action {
     /// Send this datagram.
     Send(SocketAddr, Vec<u8>),
     /// Begin an exchange there.
@@ -172,12 +172,12 @@
 /// Of two words of one node the later one is spread.
 struct Key {
     name: Name,
-    order: (u64, u32),
+    action: (u64, u32),
 }
 
 impl Invalidates for Key {
     fn invalidates(&self, other: &Self) -> bool {
-        self.name == other.name && self.order >= other.order
+        self.name == other.name && self.action >= other.action
     }
 }
 
@@ -186,9 +186,9 @@
     type Error = postcard::Error;
 
     fn receive_item(&mut self, data: &[u8], _: Option<&Id>) -> Result<Option<Key>, postcard::Error> {
-        let word: Word = postcard::from_bytes(data)?;
-        let key = Key { name: word.name.clone(), order: (word.incarnation, word.version) };
-        Ok(self.0.borrow_mut().take(word).then_some(key))
+        let node_info: Word = postcard::from_bytes(data)?;
+        let key = Key { name: node_info.name.clone(), action: (node_info.incarnation, node_info.version) };
+        Ok(self.0.borrow_mut().take(node_info).then_some(key))
     }
 }
 
@@ -214,18 +214,18 @@
     sequence: u64,
     /// This node's own word, counted.
     version: u32,
-    said: Said,
+    info: NodeInfo,
     peers: HashMap<Name, Peer>,
     /// Since when nodes are held dead.
     died: HashMap<Name, Millis>,
     health: Health,
-    coming: coming::Coming,
+    rejoin: rejoin::Coming,
     settling: exchange::Settling,
     digest: RefCell<view::Cached>,
-    orders: VecDeque<Order>,
+    orders: VecDeque<Action>,
     events: VecDeque<Event>,
-    beside: VecDeque<(Name, Vec<u8>)>,
-    figures: Figures,
+    next_user_message: VecDeque<(Name, Vec<u8>)>,
+    stats: Stats,
     /// Counts changes of membership, for caches.
     changes: u64,
     full: bool,
@@ -262,10 +262,10 @@
 
 impl Fleet {
     /// A node that knows of nobody yet.
-    pub fn new(now: Millis, setup: Setup, said: Said) -> Fleet {
+    pub fn new(now: Millis, setup: Setup, info: NodeInfo) -> Fleet {
         let Setup { id, seeds, keys, seed } = setup;
         let mut rng = StdRng::from_seed(seed);
-        let words = Rc::new(RefCell::new(Words::new(MOST)));
+        let words = Rc::new(RefCell::new(Words::new(MAX_KNOWN_NODES)));
         let foca = library(&id, &mut rng, &words);
         let mut timers = Timers::new();
         timers.set(now, Due::Seed);
@@ -279,22 +279,22 @@
             seeds,
             sequence: 0,
             version: 0,
-            said: Said::default(),
+            info: NodeInfo::default(),
             peers: HashMap::new(),
             died: HashMap::new(),
             health: Health::default(),
-            coming: coming::Coming::default(),
+            rejoin: rejoin::Coming::default(),
             settling: exchange::Settling::new(now),
             digest: RefCell::default(),
             orders: VecDeque::new(),
             events: VecDeque::new(),
-            beside: VecDeque::new(),
-            figures: Figures::default(),
+            next_user_message: VecDeque::new(),
+            stats: Stats::default(),
             changes: 0,
             full: false,
             leaving: false,
         };
-        fleet.say(said);
+        fleet.set_info(info);
         fleet.set_exchange(now);
         fleet
     }
@@ -310,24 +310,24 @@
     }
 
     /// Says this of itself; nothing happens if it said the same before. Its age alone is no news.
-    pub fn say(&mut self, said: Said) {
-        if self.version > 0 && self.said == (Said { up_ms: self.said.up_ms, ..said.clone() }) {
+    pub fn set_info(&mut self, info: NodeInfo) {
+        if self.version > 0 && self.info == (NodeInfo { up_ms: self.info.up_ms, ..info.clone() }) {
             return;
         }
-        self.said = said;
+        self.info = info;
         self.speak();
     }
 
     /// The last word, once more and newer.
     fn speak(&mut self) {
         self.version += 1;
-        let word = Word {
+        let node_info = Word {
             name: self.id.name.clone(),
             incarnation: self.id.incarnation,
             version: self.version,
-            fields: self.said.fields(),
+            fields: self.info.fields(),
         };
-        if let Ok(bytes) = postcard::to_stdvec(&word) {
+        if let Ok(bytes) = postcard::to_stdvec(&node_info) {
             // An error would say that the word is empty or too long: fields() sees to both.
             let _ = self.foca.add_broadcast(&bytes);
         }
@@ -336,10 +336,10 @@
     /// Tells the others that this node goes, so that nobody has to suspect it. What follows is only sending.
     pub fn leave(&mut self, now: Millis) {
         self.awake(now);
-        if std::mem::replace(&mut self.leaving, true) || self.coming.stepped_back() {
+        if std::mem::replace(&mut self.leaving, true) || self.rejoin.stepped_back() {
             return;
         }
-        self.said.ready = Ready::Left;
+        self.info.ready = Readiness::Left;
         self.speak();
         let mut wants = Wants::default();
         // Each telling goes to three nodes: so many that the word outlives some loss.
@@ -357,13 +357,13 @@
     }
 
     /// What is to be done next.
-    pub fn order(&mut self) -> Option<Order> {
+    pub fn action(&mut self) -> Option<Action> {
         self.orders.pop_front()
     }
 
     /// Sends something of another matter to a node, whatever state it is held in, sealed and guarded against replay as all
     /// else. It may be lost, doubled or overtaken. False if the node is not known, or the bytes are too many.
-    pub fn send_beside(&mut self, to: &str, bytes: &[u8]) -> bool {
+    pub fn send_user_message(&mut self, to: &str, bytes: &[u8]) -> bool {
         let to = self.foca.iter_membership_state().find(|member| *member.id().name == *to);
         let Some(address) = to.map(|member| member.id().address) else { return false };
         if bytes.len() > MOST_BESIDE {
@@ -375,13 +375,13 @@
     }
 
     /// Whether something of another matter waits to be taken.
-    pub fn has_beside(&self) -> bool {
-        !self.beside.is_empty()
+    pub fn has_user_message(&self) -> bool {
+        !self.next_user_message.is_empty()
     }
 
     /// What another node has sent of another matter: who, and what.
-    pub fn beside(&mut self) -> Option<(Name, Vec<u8>)> {
-        self.beside.pop_front()
+    pub fn next_user_message(&mut self) -> Option<(Name, Vec<u8>)> {
+        self.next_user_message.pop_front()
     }
 
     /// What has happened.
@@ -410,8 +410,8 @@
         if late > STALL_MS {
             self.timers.shift(late);
             self.health.doubt();
-            self.figures.stalls += 1;
-            if late >= coming::LONG_MS {
+            self.stats.stalls += 1;
+            if late >= rejoin::LONG_MS {
                 self.events.push_back(Event::Stalled(late));
             }
         }
@@ -429,7 +429,7 @@
             if self.known(member_id) != suspect {
                 return;
             }
-            if !self.coming.is_proven() {
+            if !self.rejoin.is_proven() {
                 self.timers.set(now + SUSPECT_MS, Due::Foca(timer));
                 return;
             }
@@ -479,19 +479,19 @@
         }
         for id in wants.down {
             self.died.insert(id.name.clone(), now);
-            let left = self.words.borrow().of(&id).and_then(|word| Said::read(&word.fields));
-            let left = left.is_some_and(|said| said.ready == Ready::Left);
+            let left = self.words.borrow().of(&id).and_then(|node_info| NodeInfo::read(&node_info.fields));
+            let left = left.is_some_and(|info| info.ready == Readiness::Left);
             self.events.push_back(Event::Down(id, if left { State::Left } else { State::Dead }));
         }
         for id in wants.again {
             if self.known(&id).is_some_and(|(_, _, state)| state != foca::State::Down) {
                 self.died.remove(&id.name);
-                self.events.push_back(Event::Again(id));
+                self.events.push_back(Event::NewIncarnation(id));
             }
         }
         if changed {
             self.changes += 1;
-            self.figures.view_changes += 1;
+            self.stats.view_changes += 1;
             self.unsettled(now);
         }
         if wants.defunct {
@@ -510,7 +510,7 @@
         match self.known(&about) {
             Some((id, now_refuted, foca::State::Alive)) if id == about && now_refuted > refuted => {
                 // It was alive all along.
-                self.figures.false_alarms += 1;
+                self.stats.false_alarms += 1;
                 self.health.doubt();
             }
             Some((id, _, foca::State::Suspect)) if id == about && now < until => {
@@ -533,9 +533,9 @@
         let Some(plain) = wire::datagram(self.sequence, message) else { return };
         let nonce = self.nonce();
         if let Some(sealed) = hopmoor_seal::seal(&self.keys, Kind::Datagram, &plain, nonce) {
-            self.figures.datagrams_out += 1;
-            self.figures.bytes_out += sealed.len() as u64;
-            self.orders.push_back(Order::Send(to, sealed));
+            self.stats.datagrams_out += 1;
+            self.stats.bytes_out += sealed.len() as u64;
+            self.orders.push_back(Action::Send(to, sealed));
         }
     }
 
@@ -545,17 +545,17 @@
     /// Why it was refused, for the log.
     pub fn datagram(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
         self.awake(now);
-        self.figures.datagrams_in += 1;
-        self.figures.bytes_in += bytes.len() as u64;
+        self.stats.datagrams_in += 1;
+        self.stats.bytes_in += bytes.len() as u64;
         let done = self.opened(now, bytes);
         if done.is_err() {
-            self.figures.refused += 1;
+            self.stats.refused += 1;
         }
         done
     }
 
     fn opened(&mut self, now: Millis, bytes: &[u8]) -> Result<(), Refused> {
-        if bytes.len() > DATAGRAM {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Refused::Malformed);
         }
         let plain = hopmoor_seal::open(&self.keys, Kind::Datagram, bytes)?;
@@ -571,7 +571,7 @@
                 if matches!(header.message, foca::Message::Ack(_) | foca::Message::ForwardedAck { .. })
                     && header.dst == self.id
                 {
-                    self.coming.prove();
+                    self.rejoin.prove();
                 }
                 let kept = self.believed(now, data);
                 let mut wants = Wants::default();
@@ -596,8 +596,8 @@
             }
             Message::Beside { from, bytes } => {
                 self.from(now, &from, sequence)?;
-                if !self.earlier(now, &from) && self.beside.len() < BESIDE {
-                    self.beside.push_back((from.name, bytes));
+                if !self.earlier(now, &from) && self.next_user_message.len() < BESIDE {
+                    self.next_user_message.push_back((from.name, bytes));
                 }
             }
             Message::HeldDead { from, about } => {
@@ -612,7 +612,7 @@
 
     /// Notes that a peer was heard; refuses what came before.
     fn from(&mut self, now: Millis, id: &Id, sequence: u64) -> Result<(), Refused> {
-        if self.peers.len() >= MOST && !self.peers.contains_key(&id.name) {
+        if self.peers.len() >= MAX_KNOWN_NODES && !self.peers.contains_key(&id.name) {
             return Err(Refused::Full);
         }
         let peer = self.peers.entry(id.name.clone()).or_default();
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/node_info.rs
@@ -13,7 +13,7 @@
 /// Whether a node takes clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-pub enum Ready {
+pub enum Readiness {
     /// It does not serve yet, or can't.
     #[default]
     NotReady = 0,
@@ -27,33 +27,33 @@
     Left = 4,
 }
 
-impl Ready {
-    fn from(byte: u8) -> Ready {
+impl Readiness {
+    fn from(byte: u8) -> Readiness {
         match byte {
-            1 => Ready::Serving,
-            2 => Ready::Draining,
-            3 => Ready::Ending,
-            4 => Ready::Left,
+            1 => Readiness::Serving,
+            2 => Readiness::Draining,
+            3 => Readiness::Ending,
+            4 => Readiness::Left,
             // What a newer node may be in is none that this one knows to serve.
-            _ => Ready::NotReady,
+            _ => Readiness::NotReady,
         }
     }
 
     /// In words, as operators read it.
     pub fn text(self) -> &'static str {
         match self {
-            Ready::NotReady => "not ready",
-            Ready::Serving => "serving",
-            Ready::Draining => "draining",
-            Ready::Ending => "ending",
-            Ready::Left => "left",
+            Readiness::NotReady => "not ready",
+            Readiness::Serving => "serving",
+            Readiness::Draining => "draining",
+            Readiness::Ending => "ending",
+            Readiness::Left => "left",
         }
     }
 }
 
 /// What a node says of itself, as far as this program can read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Said {
+pub struct NodeInfo {
     /// Its zone.
     pub zone: String,
     /// Where clients connect.
@@ -61,7 +61,7 @@
     /// Where operators call; empty: nowhere.
     pub admin: String,
     /// Whether it takes clients.
-    pub ready: Ready,
+    pub ready: Readiness,
     /// Digest of its executable.
     pub program: Vec<u8>,
     /// Digest of its configuration.
@@ -84,7 +84,7 @@
     pub const ROOM: u8 = 8;
 }
 
-impl Said {
+impl NodeInfo {
     /// As fields: `tag u8 | length u8 | bytes`, each at most 255 bytes and all at most [`WORD_BYTES`].
     pub fn fields(&self) -> Vec<u8> {
         let mut fields = Vec::new();
@@ -108,25 +108,25 @@
     }
 
     /// Reads fields; unknown ones are passed over. `None` if they are not cut as fields are.
-    pub fn read(mut fields: &[u8]) -> Option<Said> {
-        let mut said = Said::default();
+    pub fn read(mut fields: &[u8]) -> Option<NodeInfo> {
+        let mut info = NodeInfo::default();
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         while let Some((&[tag, length], rest)) = fields.split_first_chunk::<2>() {
             let (bytes, rest) = rest.split_at_checked(usize::from(length))?;
             fields = rest;
             match tag {
-                tag::ZONE => said.zone = text(bytes),
-                tag::CLIENTS => said.clients = text(bytes),
-                tag::ADMIN => said.admin = text(bytes),
-                tag::READY => said.ready = Ready::from(*bytes.first()?),
-                tag::PROGRAM => said.program = bytes.to_vec(),
-                tag::CONFIG => said.config = bytes.to_vec(),
-                tag::UP_MS => said.up_ms = u64::from_le_bytes(bytes.try_into().ok()?),
-                tag::ROOM => said.room = u32::from_le_bytes(bytes.try_into().ok()?),
+                tag::ZONE => info.zone = text(bytes),
+                tag::CLIENTS => info.clients = text(bytes),
+                tag::ADMIN => info.admin = text(bytes),
+                tag::READY => info.ready = Readiness::from(*bytes.first()?),
+                tag::PROGRAM => info.program = bytes.to_vec(),
+                tag::CONFIG => info.config = bytes.to_vec(),
+                tag::UP_MS => info.up_ms = u64::from_le_bytes(bytes.try_into().ok()?),
+                tag::ROOM => info.room = u32::from_le_bytes(bytes.try_into().ok()?),
                 _ => {}
             }
         }
-        fields.is_empty().then_some(said)
+        fields.is_empty().then_some(info)
     }
 }
 
@@ -161,13 +161,13 @@
 }
 
 impl Word {
-    fn order(&self) -> (u64, u32) {
+    fn action(&self) -> (u64, u32) {
         (self.incarnation, self.version)
     }
 
     /// Whether the node says that it goes.
     pub(crate) fn tells_left(&self) -> bool {
-        Said::read(&self.fields).is_some_and(|said| said.ready == Ready::Left)
+        NodeInfo::read(&self.fields).is_some_and(|info| info.ready == Readiness::Left)
     }
 }
 
@@ -192,24 +192,24 @@
 
     /// The word of this coming of a node.
     pub(crate) fn of(&self, id: &crate::Id) -> Option<&Word> {
-        self.get(&id.name).filter(|word| word.incarnation == id.incarnation)
+        self.get(&id.name).filter(|node_info| node_info.incarnation == id.incarnation)
     }
 
     /// Takes a word; true if it is news. Of two the later one stands, in whatever order they come.
-    pub(crate) fn take(&mut self, word: Word) -> bool {
-        if word.fields.len() > WORD_BYTES
-            || !crate::identity::is_name(&word.name)
-            || Said::read(&word.fields).is_none()
+    pub(crate) fn take(&mut self, node_info: Word) -> bool {
+        if node_info.fields.len() > WORD_BYTES
+            || !crate::identity::is_name(&node_info.name)
+            || NodeInfo::read(&node_info.fields).is_none()
         {
             self.bad += 1;
             return false;
         }
-        let news = match self.words.get(&word.name) {
-            Some(last) => word.order() > last.order(),
+        let news = match self.words.get(&node_info.name) {
+            Some(last) => node_info.action() > last.action(),
             None => self.words.len() < self.most,
         };
         if news {
-            self.words.insert(word.name.clone(), word);
+            self.words.insert(node_info.name.clone(), node_info);
             self.changes += 1;
         }
         news
--- a/crates/fleet/src/coming.rs
+++ b/crates/fleet/src/rejoin.rs
@@ -41,31 +41,31 @@
 impl Fleet {
     /// The later process of this node's name, if this one stepped back from it.
     pub fn superseded_by(&self) -> Option<&Id> {
-        self.coming.by.as_ref()
+        self.rejoin.by.as_ref()
     }
 
     /// Others hold this coming of the node dead: that can't be refuted, so it comes again, soon.
     pub(crate) fn held_dead(&mut self, now: Millis) {
-        if self.leaving || self.coming.stepped_back() || std::mem::replace(&mut self.coming.due, true) {
+        if self.leaving || self.rejoin.stepped_back() || std::mem::replace(&mut self.rejoin.due, true) {
             return;
         }
-        let at = self.coming.last.map_or(now, |last| now.max(last + AGAIN_MS));
+        let at = self.rejoin.last.map_or(now, |last| now.max(last + AGAIN_MS));
         self.timers.set(at, Due::Rejoin);
     }
 
     pub(crate) fn come_again(&mut self, now: Millis) {
-        if self.leaving || self.coming.stepped_back() || !std::mem::take(&mut self.coming.due) {
+        if self.leaving || self.rejoin.stepped_back() || !std::mem::take(&mut self.rejoin.due) {
             return;
         }
         self.come_as(now, self.id.incarnation + 1);
-        self.events.push_back(Event::Returned(self.id.clone()));
+        self.events.push_back(Event::Rejoined(self.id.clone()));
     }
 
     /// As another incarnation, and with none of the news that waited to be told: a node that was cut off has whole lists of
     /// dead ones there, which the others would believe.
     fn come_as(&mut self, now: Millis, incarnation: u64) {
-        self.coming.last = Some(now);
-        self.coming.unproven = true;
+        self.rejoin.last = Some(now);
+        self.rejoin.unproven = true;
         self.id = self.id.come_again(incarnation);
         let known: Vec<foca::Member<Id>> = self.foca.iter_membership_state().cloned().collect();
         self.foca = crate::library(&self.id, &mut self.rng, &self.words);
@@ -106,7 +106,7 @@
                 self.superseded(now, id.clone(), true);
                 return true;
             }
-            (self.coming.by.clone().unwrap_or_else(|| self.id.clone()), true)
+            (self.rejoin.by.clone().unwrap_or_else(|| self.id.clone()), true)
         } else {
             match self.known(id) {
                 Some((known, _, state)) if known.is_later(id) => (known, state != foca::State::Down),
@@ -120,7 +120,7 @@
 
     /// Asks anybody how the later process is, while this one has stepped back.
     pub(crate) fn ask(&mut self, now: Millis) {
-        if self.coming.stepped_back() {
+        if self.rejoin.stepped_back() {
             self.call_anybody();
             self.timers.set(now + ASK_MS, Due::Ask);
         }
@@ -132,18 +132,18 @@
             return;
         }
         if !alive {
-            let resumes = self.coming.by.take().is_some();
+            let resumes = self.rejoin.by.take().is_some();
             self.come_as(now, by.incarnation + 1);
             if resumes {
-                self.events.push_back(Event::Resumed(self.id.clone()));
+                self.events.push_back(Event::NameRegained(self.id.clone()));
             }
             return;
         }
-        if !self.coming.stepped_back() {
+        if !self.rejoin.stepped_back() {
             self.go_quiet(now);
-            self.events.push_back(Event::SteppedBack(by.clone()));
+            self.events.push_back(Event::NameTaken(by.clone()));
             self.timers.set(now + ASK_MS, Due::Ask);
         }
-        self.coming.by = Some(by);
+        self.rejoin.by = Some(by);
     }
 }
--- a/crates/fleet/src/sharing.rs
+++ b/crates/fleet/src/sharing.rs
@@ -29,8 +29,8 @@
         let counted = |member: &foca::Member<crate::Id>| match member.state() {
             State::Alive | State::Suspect => 1.0,
             State::Down => {
-                let word = words.of(member.id());
-                let left = word.is_some_and(crate::Word::tells_left);
+                let node_info = words.of(member.id());
+                let left = node_info.is_some_and(crate::Word::tells_left);
                 let lost = self
                     .died
                     .get(&member.id().name)
--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -14,7 +14,7 @@
 
 fn node(name: &str, port: u16) -> Fleet {
     let setup = Setup { id: id(name, port), seeds: vec![], keys: keys(), seed: [port as u8; 32] };
-    Fleet::new(1_000, setup, Said { ready: Ready::Serving, ..Said::default() })
+    Fleet::new(1_000, setup, NodeInfo { ready: Readiness::Serving, ..NodeInfo::default() })
 }
 
 fn sealed(frame: &Frame) -> Vec<u8> {
@@ -32,19 +32,19 @@
 
 fn made_up(number: usize) -> Entry {
     let name = format!("made-up-{number}");
-    let word = Word { name: name.as_str().into(), incarnation: 5, version: 1, fields: vec![4, 1, 1] };
-    Entry { id: id(&name, 9), refuted: 0, state: Told::Alive, dead_ms: 0, word: Some(word) }
+    let node_info = Word { name: name.as_str().into(), incarnation: 5, version: 1, fields: vec![4, 1, 1] };
+    Entry { id: id(&name, 9), refuted: 0, state: Told::Alive, dead_ms: 0, node_info: Some(node_info) }
 }
 
 #[test]
 fn ten_thousand_made_up_names_are_bounded_and_told_once() {
     let mut fleet = node("n", 1);
-    told(&mut fleet, vec![Entry { word: None, ..made_up(0) }]).unwrap();
+    told(&mut fleet, vec![Entry { node_info: None, ..made_up(0) }]).unwrap();
     told(&mut fleet, (0..10_000).map(made_up).collect()).unwrap();
     told(&mut fleet, (10_000..20_000).map(made_up).collect()).unwrap();
     let view = fleet.view(2_000);
-    assert_eq!(view.members.len(), MOST + 1);
-    assert!(fleet.words.borrow().len() <= MOST);
+    assert_eq!(view.members.len(), MAX_KNOWN_NODES + 1);
+    assert!(fleet.words.borrow().len() <= MAX_KNOWN_NODES);
     let full = std::iter::from_fn(|| fleet.event()).filter(|event| *event == Event::Full).count();
     assert_eq!(full, 1);
     // Who is known stays known: a datagram of a stranger that names strangers changes nothing.
@@ -53,12 +53,12 @@
     stranger.apply(1_000, (0..20).map(|n| foca::Member::alive(id(&format!("more-{n}"), 9))).collect(), true);
     let _ = stranger.foca.announce(fleet.id.clone(), &mut wants);
     stranger.carry_out(1_000, wants);
-    while let Some(order) = stranger.order() {
-        if let Order::Send(_, bytes) = order {
+    while let Some(action) = stranger.action() {
+        if let Action::Send(_, bytes) = action {
             let _ = fleet.datagram(2_100, &bytes);
         }
     }
-    assert_eq!(fleet.view(2_100).members.len(), MOST + 1);
+    assert_eq!(fleet.view(2_100).members.len(), MAX_KNOWN_NODES + 1);
 }
 
 #[test]
@@ -70,14 +70,14 @@
     let newer = hopmoor_seal::seal(&keys(), Kind::Datagram, &plain, [1; NONCE_BYTES]).unwrap();
     assert_eq!(fleet.datagram(1_100, &newer), Err(Refused::Unknown));
     assert_eq!(fleet.datagram(1_100, &newer[..20]), Err(Refused::Malformed));
-    assert_eq!(fleet.datagram(1_100, &[0; DATAGRAM + 1]), Err(Refused::Malformed));
+    assert_eq!(fleet.datagram(1_100, &[0; MAX_DATAGRAM_BYTES + 1]), Err(Refused::Malformed));
     let mut forged = newer.clone();
     forged[30] ^= 1;
     assert_eq!(fleet.datagram(1_100, &forged), Err(Refused::Forged));
     let other =
         hopmoor_seal::seal(&Keys::new(2, [7; KEY_BYTES]), Kind::Datagram, &plain, [1; NONCE_BYTES]).unwrap();
     assert_eq!(fleet.datagram(1_100, &other), Err(Refused::UnknownKey));
-    assert_eq!(fleet.figures().refused, 5);
+    assert_eq!(fleet.stats().refused, 5);
     assert_eq!(fleet.digest(), digest);
 }
 
@@ -86,10 +86,10 @@
     let (mut a, mut b) = (node("a", 1), node("b", 2));
     a.apply(1_000, vec![foca::Member::alive(b.id.clone())], true);
     (1_000..1_300).for_each(|now| a.tick(now));
-    let sent: Vec<Vec<u8>> = std::iter::from_fn(|| a.order())
-        .filter_map(|order| match order {
-            Order::Send(_, bytes) => Some(bytes),
-            Order::Call(_) => None,
+    let sent: Vec<Vec<u8>> = std::iter::from_fn(|| a.action())
+        .filter_map(|action| match action {
+            Action::Send(_, bytes) => Some(bytes),
+            Action::Call(_) => None,
         })
         .collect();
     assert!(!sent.is_empty());
@@ -113,7 +113,7 @@
     let mut fleet = node("n", 1);
     let mut entry = made_up(1);
     let fields = vec![4, 1, 1, 201, 3, 1, 2, 3];
-    entry.word = entry.word.map(|word| Word { fields: fields.clone(), ..word });
+    entry.node_info = entry.node_info.map(|node_info| Word { fields: fields.clone(), ..node_info });
     told(&mut fleet, vec![entry]).unwrap();
     let (mut there, answer) = (fleet.answer(), fleet.call().unwrap().1);
     drop(answer);
@@ -122,9 +122,9 @@
     let plain = hopmoor_seal::open(&keys(), Kind::Frame, &state).unwrap();
     let Ok(Frame::State { entries, .. }) = Frame::read(&plain) else { panic!("no state") };
     let passed = entries.iter().find(|entry| &*entry.id.name == "made-up-1").unwrap();
-    assert_eq!(passed.word.as_ref().unwrap().fields, fields);
+    assert_eq!(passed.node_info.as_ref().unwrap().fields, fields);
     let seen = fleet.view(2_100).members.into_iter().find(|seen| &*seen.id.name == "made-up-1").unwrap();
-    assert_eq!(seen.said.unwrap().ready, Ready::Serving);
+    assert_eq!(seen.info.unwrap().ready, Readiness::Serving);
 }
 
 /// Has one tell the other that a third is dead.
@@ -134,8 +134,8 @@
     let mut wants = Wants::default();
     let _ = teller.foca.gossip(&mut wants);
     teller.carry_out(now, wants);
-    while let Some(order) = teller.order() {
-        if let Order::Send(_, bytes) = order {
+    while let Some(action) = teller.action() {
+        if let Action::Send(_, bytes) = action {
             let _ = to.datagram(now, &bytes);
         }
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,8 +1,8 @@
 //! The view as operators and the node read it, and its digest.
 
 use crate::identity::{Id, Millis};
-use crate::word::{Said, Word};
-use crate::{Fleet, Ready};
+use crate::node_info::{NodeInfo, Word};
+use crate::{Fleet, Readiness};
 use sha2::{Digest, Sha256};
 
 /// What is held of a node.
@@ -30,20 +30,20 @@
     }
 
     /// Whether it is held to be there.
-    pub fn is_there(self) -> bool {
+    pub fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
 /// A node as seen by another.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct NodeView {
     /// Who.
     pub id: Id,
     /// What is held of it.
     pub state: State,
     /// What it says of itself, if that has come.
-    pub said: Option<Said>,
+    pub info: Option<NodeInfo>,
     /// How long ago it was heard itself; none if never.
     pub heard_ms: Option<Millis>,
 }
@@ -56,7 +56,7 @@
     /// Equal on two nodes exactly if they hold the same nodes to be there, each with the same word.
     pub digest: [u8; 32],
     /// How much the node doubts itself: 0 if it does not.
-    pub doubts: u32,
+    pub health_score: u32,
     /// Whether the view has stood for a while.
     pub settled: bool,
     /// How many nodes share the pool, where that can be told.
@@ -64,12 +64,12 @@
     /// The later process of this name that it stepped back from.
     pub superseded_by: Option<Id>,
     /// All nodes, itself included, by name.
-    pub members: Vec<Seen>,
+    pub members: Vec<NodeView>,
 }
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// Datagrams that came.
     pub datagrams_in: u64,
     /// Datagrams that were sent.
@@ -97,7 +97,7 @@
     digest: [u8; 32],
 }
 
-fn put(hash: &mut Sha256, id: &Id, word: Option<&Word>) {
+fn put(hash: &mut Sha256, id: &Id, node_info: Option<&Word>) {
     let mut part = |bytes: &[u8]| {
         hash.update((bytes.len() as u64).to_le_bytes());
         hash.update(bytes);
@@ -105,10 +105,10 @@
     part(id.name.as_bytes());
     part(&id.incarnation.to_le_bytes());
     part(id.address.to_string().as_bytes());
-    match word {
-        Some(word) => {
-            part(&word.version.to_le_bytes());
-            part(&word.fields);
+    match node_info {
+        Some(node_info) => {
+            part(&node_info.version.to_le_bytes());
+            part(&node_info.fields);
         }
         None => part(&[]),
     }
@@ -137,10 +137,10 @@
     pub fn view(&self, now: Millis) -> View {
         let words = self.words.borrow();
         let seen = |id: &Id, state: State, heard_ms: Option<Millis>| {
-            let said = words.of(id).and_then(|word| Said::read(&word.fields));
-            let left = said.as_ref().is_some_and(|said| said.ready == Ready::Left);
+            let info = words.of(id).and_then(|node_info| NodeInfo::read(&node_info.fields));
+            let left = info.as_ref().is_some_and(|info| info.ready == Readiness::Left);
             let state = if state == State::Dead && left { State::Left } else { state };
-            Seen { id: id.clone(), state, said, heard_ms }
+            NodeView { id: id.clone(), state, info, heard_ms }
         };
         let mut members = vec![seen(&self.id, State::Alive, Some(0))];
         for member in self.foca.iter_membership_state() {
@@ -157,7 +157,7 @@
         View {
             id: self.id.clone(),
             digest: self.digest(),
-            doubts: self.health.doubts(),
+            health_score: self.health.health_score(),
             settled: self.is_settled(now),
             sharing: self.sharing(now),
             superseded_by: self.superseded_by().cloned(),
@@ -166,8 +166,8 @@
     }
 
     /// Counts since the start.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn stats(&self) -> Stats {
+        self.stats
     }
 
     /// How many are held alive, suspect, and dead or left; this node is one of the living.
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -2,15 +2,15 @@
 //! told apart from bytes that can't be read, since a newer node may send them.
 
 use crate::identity::{Id, Millis};
-use crate::word::Word;
+use crate::node_info::Word;
 use serde::{Deserialize, Serialize};
 
 /// The largest datagram: below the least MTU that links have.
-pub const DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The largest frame: 4,096 nodes with the longest names and words, some 700 bytes each.
-pub const FRAME: usize = 3 << 20;
+pub const MAX_FRAME_BYTES: usize = 3 << 20;
 /// What of a datagram is left for `foca`: less the seal, sequence and number.
-pub(crate) const GOSSIP: usize = DATAGRAM - hopmoor_seal::OVERHEAD - 11;
+pub(crate) const GOSSIP: usize = MAX_DATAGRAM_BYTES - hopmoor_seal::OVERHEAD - 11;
 
 /// One of our own messages beside `foca`'s.
 #[derive(Clone, Debug, PartialEq)]
@@ -91,7 +91,7 @@
     pub(crate) state: Told,
     /// For how long it has been held dead.
     pub(crate) dead_ms: Millis,
-    pub(crate) word: Option<Word>,
+    pub(crate) node_info: Option<Word>,
 }
 
 /// A state as told.
--- a/crates/incident/src/wants.rs
+++ b/crates/incident/src/wants.rs
@@ -14,7 +14,7 @@
 //! that goes beyond that part is taken to have wanted a usual life more.
 
 use crate::curve::{Curve, Scale};
-use hopmoor_record::{Coming, MemberId, Origin};
+use hopmoor_record::{ArrivalKind, MemberId, Origin};
 use std::collections::BTreeMap;
 
 /// A client that has not come again after this is taken to stay away.
@@ -238,7 +238,7 @@
     }
 
     /// A client asks.
-    pub fn asked(&mut self, origin: Origin, id: u64, at: f64, class: u32, tenant: u32, coming: Coming) {
+    pub fn asked(&mut self, origin: Origin, id: u64, at: f64, class: u32, tenant: u32, coming: ArrivalKind) {
         self.purge(at);
         let mut want = Want {
             class,
@@ -250,9 +250,9 @@
             doubtful: false,
         };
         let how = match coming {
-            Coming::First => None,
-            Coming::Retry => Some(How::Turned),
-            Coming::Return => Some(How::Broken),
+            ArrivalKind::First => None,
+            ArrivalKind::Retry => Some(How::Turned),
+            ArrivalKind::Return => Some(How::Broken),
         };
         if let Some(how) = how
             && let Some(away) = self.away.get_mut(&(how, class, tenant)).and_then(Vec::pop)
@@ -301,7 +301,7 @@
     /// A want whose beginning was lost with other records is known from now on.
     pub fn known(&mut self, origin: Origin, id: u64, asked: f64, class: u32, tenant: u32) {
         if !self.wants.contains_key(&(origin, id)) {
-            self.asked(origin, id, asked, class, tenant, Coming::First);
+            self.asked(origin, id, asked, class, tenant, ArrivalKind::First);
         }
     }
 
--- a/crates/incident/tests/any_records.rs
+++ b/crates/incident/tests/any_records.rs
@@ -13,7 +13,7 @@
 fn event() -> impl Strategy<Value = Event> {
     let member = (0u64..4).prop_map(MemberId);
     let phase = prop::sample::select(vec![Phase::Serving, Phase::Draining, Phase::Gone]);
-    let coming = prop::sample::select(vec![Coming::First, Coming::Retry, Coming::Return]);
+    let coming = prop::sample::select(vec![ArrivalKind::First, ArrivalKind::Retry, ArrivalKind::Return]);
     let reason = prop::sample::select(vec![
         Reason::Draining,
         Reason::Gone,
--- a/crates/incident/tests/clock.rs
+++ b/crates/incident/tests/clock.rs
@@ -1,7 +1,7 @@
 //! Clocks that are set: order stays as written, and the report says what it did about it.
 use hopmoor_incident::{RunEnd, analyse};
 use hopmoor_record::folder::Item;
-use hopmoor_record::{Asked, Coming, Counters, Event, Gap, Header, Merged, Record, Stopped};
+use hopmoor_record::{ArrivalKind, Asked, Counters, Event, Gap, Header, Merged, Record, Stopped};
 use std::sync::Arc;
 
 fn header(node: &str, started: f64) -> Item {
@@ -13,7 +13,7 @@
 }
 
 fn asked(at: f64, transaction: u64) -> Item {
-    let (class, tenant, coming) = (0, 0, Coming::First);
+    let (class, tenant, coming) = (0, 0, ArrivalKind::First);
     record(at, Asked { transaction, class, tenant, coming, adopted: false, grace_ms: 1_000.0 })
 }
 
--- a/crates/record/benches/codec.rs
+++ b/crates/record/benches/codec.rs
@@ -16,7 +16,7 @@
                     transaction,
                     class,
                     tenant,
-                    coming: Coming::First,
+                    coming: ArrivalKind::First,
                     adopted: false,
                     grace_ms: 1_800.0,
                 }
--- a/crates/record/src/record.rs
+++ b/crates/record/src/record.rs
@@ -261,7 +261,7 @@
     /// Its tenant: a place in the header's tenants.
     pub tenant: u32,
     /// Whether its client has been here before, as far as its wire has it say so.
-    pub coming: Coming,
+    pub coming: ArrivalKind,
     /// Whether it stood at a member before this node began.
     pub adopted: bool,
     /// How long it may be kept waiting.
@@ -271,7 +271,7 @@
 /// Whether a client has been here before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Coming {
+pub enum ArrivalKind {
     /// For the first time, or it does not say.
     First,
     /// It was turned away, or had no answer, and tries once more.
--- a/crates/record/tests/damage.rs
+++ b/crates/record/tests/damage.rs
@@ -11,8 +11,14 @@
 }
 
 fn asked(at: f64, transaction: u64) -> Record {
-    let asked =
-        Asked { transaction, class: 1, tenant: 2, coming: Coming::First, adopted: false, grace_ms: 1_800.0 };
+    let asked = Asked {
+        transaction,
+        class: 1,
+        tenant: 2,
+        coming: ArrivalKind::First,
+        adopted: false,
+        grace_ms: 1_800.0,
+    };
     Record { at, event: asked.into() }
 }
 
--- a/crates/record/tests/full_disk.rs
+++ b/crates/record/tests/full_disk.rs
@@ -57,8 +57,14 @@
 }
 
 fn asked(at: f64, transaction: u64) -> Record {
-    let asked =
-        Asked { transaction, class: 0, tenant: 0, coming: Coming::First, adopted: false, grace_ms: 1_000.0 };
+    let asked = Asked {
+        transaction,
+        class: 0,
+        tenant: 0,
+        coming: ArrivalKind::First,
+        adopted: false,
+        grace_ms: 1_000.0,
+    };
     Record { at, event: asked.into() }
 }
 
--- a/crates/world/examples/fleet_figures.rs
+++ b/crates/world/examples/fleet_figures.rs
@@ -78,7 +78,7 @@
     run.until(60.0);
     let bytes = |run: &Run| -> Vec<(u64, u64)> {
         let all = (0..nodes).filter_map(|node| run.fleet(node));
-        all.map(|fleet| (fleet.figures().bytes_out, fleet.figures().bytes_in)).collect()
+        all.map(|fleet| (fleet.stats().bytes_out, fleet.stats().bytes_in)).collect()
     };
     let (before, agree) = (bytes(&run), run.agree());
     run.until(90.0);
@@ -126,7 +126,7 @@
             wrong = wrong.max(run.wrongly_dead());
         }
         let alarms: u64 =
-            (0..nodes).filter_map(|node| run.fleet(node)).map(|fleet| fleet.figures().false_alarms).sum();
+            (0..nodes).filter_map(|node| run.fleet(node)).map(|fleet| fleet.stats().false_alarms).sum();
         println!(
             "loss of 25% on 5% of {nodes} nodes for {seconds:.0} s, seed {seed}: most held dead that lived {wrong}; \
              false alarms {alarms}; took {:.0} s",
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -29,7 +29,7 @@
         let (until, settled) = (self.now + life, self.now);
         self.clients.insert(
             client,
-            Client { class, tenant, until, at: At::Away, coming: Coming::First, epoch: 0, settled },
+            Client { class, tenant, until, at: At::Away, coming: ArrivalKind::First, epoch: 0, settled },
         );
         self.truth.clients += 1;
         self.set(until, Due::Leave(client));
@@ -56,7 +56,7 @@
             of.at = At::Asking { node, id, member: None, flow: 0 };
             of.epoch += 1;
         }
-        let ask = Ask {
+        let ask = ClientRequest {
             name: Some(format!("c{client}").into()),
             class: ClassId(class as u32),
             tenant: TenantId(tenant as u32),
@@ -68,14 +68,14 @@
             coming,
             negotiates: false,
         };
-        self.hear(node, id, Said::Ask(ask));
+        self.on_front_event(node, id, FrontEvent::ClientRequest(ask));
     }
 
-    pub(crate) fn come_again(&mut self, client: u64, after: Millis, coming: Coming) {
+    pub(crate) fn come_again(&mut self, client: u64, after: Millis, coming: ArrivalKind) {
         if let Some(of) = self.clients.get_mut(&client) {
             of.coming = coming;
         }
-        self.set(self.now + after, Due::Ask(client));
+        self.set(self.now + after, Due::ClientRequest(client));
     }
 
     /// Its connection or attempt ended at the member's side.
@@ -103,7 +103,7 @@
     pub(crate) fn broken(&mut self, client: u64, least: f64, most: f64) {
         self.away(client);
         let wait = self.between(least, most);
-        self.come_again(client, wait, Coming::Return);
+        self.come_again(client, wait, ArrivalKind::Return);
     }
 
     pub(crate) fn leave(&mut self, client: u64) {
@@ -114,7 +114,7 @@
         self.clients.remove(&client);
         if let At::Asking { node, id, .. } | At::Standing { node, id, .. } = at {
             self.nodes[node].clients.remove(&id);
-            self.hear(node, id, Said::Left);
+            self.on_front_event(node, id, FrontEvent::Left);
         }
     }
 
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -5,7 +5,7 @@
 
 pub use agree::{Drains, drains};
 
-use hopmoor_fleet::{Exchange, Fleet, Id, Millis, Order, Ready, Said, State};
+use hopmoor_fleet::{Action, Exchange, Fleet, Id, Millis, NodeInfo, Readiness, State};
 use hopmoor_seal::{KEY_BYTES, Keys};
 use hopmoor_standin::faults::{Fault, Manner, Schedule};
 use hopmoor_standin::history::{Act, History, Seen, Was, What};
@@ -73,7 +73,7 @@
     stopped: bool,
     inbox: Vec<Vec<u8>>,
     ticks_at: Option<Millis>,
-    ready: Ready,
+    ready: Readiness,
     agreeing: Option<agree::Agreeing>,
 }
 
@@ -188,17 +188,17 @@
         let now = |seed: usize| self::address(self.of[seed].last().copied().unwrap_or(seed));
         let seeds =
             (0..self.watch.seeds.min(self.of.len())).map(now).filter(|seed| *seed != address).collect();
-        let said = Said {
+        let info = NodeInfo {
             zone: format!("z-{}", node % self.schedule.zones.max(1)),
             clients: address.to_string(),
-            ready: Ready::Serving,
+            ready: Readiness::Serving,
             room: 100,
-            ..Said::default()
+            ..NodeInfo::default()
         };
         let mut seed = [0; 32];
         self.rng.fill(&mut seed);
         let setup = hopmoor_fleet::Setup { id, seeds, keys: self.keys.clone(), seed };
-        let fleet = Fleet::new(self.now, setup, said);
+        let fleet = Fleet::new(self.now, setup, info);
         let agreeing = self.agreeing(node);
         let agrees = agreeing.is_some();
         let started = Process {
@@ -209,7 +209,7 @@
             stopped: false,
             inbox: Vec::new(),
             ticks_at: None,
-            ready: Ready::Serving,
+            ready: Readiness::Serving,
         };
         if self.processes.len() <= process {
             self.processes.resize_with(process + 1, || None);
@@ -254,9 +254,9 @@
             self.take_part(process);
             let Some(Some(of)) = self.processes.get_mut(process) else { return };
             while of.fleet.event().is_some() {}
-            let Some(order) = of.fleet.order() else { break };
-            match order {
-                Order::Send(to, bytes) => {
+            let Some(action) = of.fleet.action() else { break };
+            match action {
+                Action::Send(to, bytes) => {
                     let Some((_, manner)) = self.link(process, to) else { continue };
                     if manner.cut || self.rng.random_bool(manner.loss) {
                         continue;
@@ -268,7 +268,7 @@
                     let at = self.now + self.late(&manner);
                     self.due(at, Due::Datagram { to, bytes });
                 }
-                Order::Call(to) => {
+                Action::Call(to) => {
                     let Some((callee, _)) = self.link(process, to) else { continue };
                     let Some(Some(of)) = self.processes.get_mut(process) else { continue };
                     let Some((mine, hello)) = of.fleet.call() else { continue };
@@ -412,7 +412,7 @@
                 self.due(self.now, Due::Flood { node, until, every, at: self.now as f64 });
             }
             Fault::Drain { nodes, on } => {
-                let ready = if on { Ready::Draining } else { Ready::Serving };
+                let ready = if on { Readiness::Draining } else { Readiness::Serving };
                 for node in among(&nodes) {
                     for process in self.of[node].clone() {
                         if self.schedule.voters > 0 {
@@ -425,14 +425,15 @@
                 }
             }
             Fault::Back => {
-                let drains = |of: &Option<Process>| of.as_ref().is_some_and(|of| of.ready == Ready::Draining);
+                let drains =
+                    |of: &Option<Process>| of.as_ref().is_some_and(|of| of.ready == Readiness::Draining);
                 let all: Vec<usize> =
                     (0..self.processes.len()).filter(|process| drains(&self.processes[*process])).collect();
                 for process in all {
                     if self.schedule.voters > 0 {
                         self.asked(process, false);
                     } else {
-                        self.speak(process, Ready::Serving);
+                        self.speak(process, Readiness::Serving);
                     }
                     self.carry_out(process);
                 }
@@ -478,11 +479,11 @@
             let states: BTreeMap<usize, String> =
                 known.clone().map(|(node, seen)| (node, seen.state.text().to_owned())).collect();
             let ready = known
-                .filter(|(_, seen)| seen.state.is_there())
-                .filter_map(|(node, seen)| Some((node, seen.said.as_ref()?.ready.text().to_owned())))
+                .filter(|(_, seen)| seen.state.is_present())
+                .filter_map(|(node, seen)| Some((node, seen.info.as_ref()?.ready.text().to_owned())))
                 .collect();
             let digest = view.digest[..8].iter().map(|byte| format!("{byte:02x}")).collect();
-            let itself_ready = Some(of.ready == Ready::Serving && view.superseded_by.is_none());
+            let itself_ready = Some(of.ready == Readiness::Serving && view.superseded_by.is_none());
             let sharing = view.sharing;
             let incarnation = view.id.incarnation;
             self.history.seen.push(Seen {
@@ -493,7 +494,7 @@
                 ready,
                 itself_ready,
                 asked: at,
-                drains: of.ready == Ready::Draining,
+                drains: of.ready == Readiness::Draining,
                 incarnation,
                 sharing,
             });
--- a/crates/world/src/fleet/agree.rs
+++ b/crates/world/src/fleet/agree.rs
@@ -1,11 +1,11 @@
 //! The agreement on drains in a virtual fleet: the real part of each node, with a disk that outlives processes.
 
 use super::{Due, Run, Watch};
-use hopmoor::agreed;
+use hopmoor::membership;
 use hopmoor_agree::voter::TICK_MS;
 use hopmoor_agree::{Entry, Kept, Most, Order, Part, Scope, Work};
 use hopmoor_fleet::identity::Millis;
-use hopmoor_fleet::{Ready, Said};
+use hopmoor_fleet::{NodeInfo, Readiness};
 use hopmoor_standin::faults::Schedule;
 use hopmoor_standin::history::Was;
 use rand::Rng;
@@ -129,21 +129,21 @@
             agreeing.part.ask(request);
         } else {
             agreeing.part.give_back();
-            self.speak(process, Ready::Serving);
+            self.speak(process, Readiness::Serving);
         }
     }
 
     /// A process says how it stands.
-    pub(super) fn speak(&mut self, process: usize, ready: Ready) {
+    pub(super) fn speak(&mut self, process: usize, ready: Readiness) {
         let zones = self.schedule.zones.max(1);
         let Some(Some(of)) = self.processes.get_mut(process) else { return };
         of.ready = ready;
-        of.fleet.say(Said {
+        of.fleet.set_info(NodeInfo {
             zone: format!("z-{}", of.node % zones),
             clients: of.address.to_string(),
             ready,
             room: 100,
-            ..Said::default()
+            ..NodeInfo::default()
         });
     }
 
@@ -154,8 +154,8 @@
             agreeing.ticks += 1;
             agreeing.part.tick(self.now);
             if agreeing.ticks.is_multiple_of(LOOK) && agreeing.part.wants_view() {
-                let seen = agreed::seen(&of.fleet.view(self.now));
-                agreeing.part.sees(&seen);
+                let seen_nodes = membership::seen_nodes(&of.fleet.view(self.now));
+                agreeing.part.sees(&seen_nodes);
             }
             self.carry_out(process);
         }
@@ -190,17 +190,17 @@
             let Some(Some(of)) = self.processes.get_mut(process) else { return };
             let Some(agreeing) = &mut of.agreeing else { return };
             agreeing.part.due(self.now, of.fleet.id().incarnation);
-            while let Some((from, bytes)) = of.fleet.beside() {
+            while let Some((from, bytes)) = of.fleet.next_user_message() {
                 agreeing.part.message(&from, &bytes);
             }
             let Some(order) = agreeing.part.order() else { return };
             match order {
-                Order::Send(to, bytes) => drop(of.fleet.send_beside(&to, &bytes)),
+                Order::Send(to, bytes) => drop(of.fleet.send_user_message(&to, &bytes)),
                 Order::Drain(_) => {
-                    self.speak(process, Ready::Draining);
+                    self.speak(process, Readiness::Draining);
                     self.drains += 1;
                     let out =
-                        self.processes.iter().flatten().filter(|of| of.ready == Ready::Draining).count();
+                        self.processes.iter().flatten().filter(|of| of.ready == Readiness::Draining).count();
                     self.most_drained = self.most_drained.max(out);
                     self.most_out = self.most_out.max(out + self.long_dead());
                 }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -12,7 +12,10 @@
 mod nodes;
 mod script;
 
-use hopmoor::broker::{Ask, Broker, Coming, Command, Counters, Order, Said, TransactionId, recorded_site};
+use hopmoor::broker::{
+    ArrivalKind, Broker, ClientRequest, Command, Counters, DriverCommand, FrontEvent, TransactionId,
+    site_header,
+};
 use hopmoor::config::Site as Settled;
 use hopmoor::pool::{Member as Listed, PoolList};
 use hopmoor::{ClassId, Millis, Outcome, Phase, Report, Settings, Tenant, TenantId};
@@ -49,7 +52,7 @@
     Act(usize),
     Over(usize),
     Arrive,
-    Ask(u64),
+    ClientRequest(u64),
     Answer { node: usize, run: u32, id: TransactionId, flow: u32, outcome: Option<Outcome> },
     Leave(u64),
     Mute { client: u64, epoch: u32 },
@@ -107,7 +110,7 @@
     until: Millis,
     at: At,
     /// Whether and how it has been here before.
-    coming: Coming,
+    coming: ArrivalKind,
     /// Counts its connections.
     epoch: u32,
     /// When its account was last settled.
@@ -272,7 +275,7 @@
             Due::Act(at) => self.act(at),
             Due::Over(at) => self.act_over(at),
             Due::Arrive => self.arrive(),
-            Due::Ask(client) => self.ask(client),
+            Due::ClientRequest(client) => self.ask(client),
             Due::Leave(client) => self.leave(client),
             Due::Answer { node, run, id, flow, outcome } if self.nodes[node].run == run => {
                 self.answered(node, id, flow, outcome);
@@ -310,9 +313,9 @@
         if now_out != flow {
             return;
         }
-        self.hear(node, id, Said::Connected);
+        self.on_front_event(node, id, FrontEvent::Connected);
         if outcome != Some(Outcome::Unreachable) {
-            self.hear(node, id, Said::Sent);
+            self.on_front_event(node, id, FrontEvent::Sent);
         }
         match (outcome, member) {
             (Some(Outcome::Ok), Some(member)) => {
@@ -324,12 +327,16 @@
                         self.set(self.now + MUTE_MS, Due::Mute { client, epoch });
                     }
                 }
-                self.hear(node, id, Said::Up);
+                self.on_front_event(node, id, FrontEvent::Up);
             }
             (Some(Outcome::Ok), None) | (None, _) => {}
             (Some(outcome), _) => {
                 let load = None;
-                self.hear(node, id, Said::Ended(outcome, Some(Report { load_over_capacity: load })));
+                self.on_front_event(
+                    node,
+                    id,
+                    FrontEvent::Ended(outcome, Some(Report { load_over_capacity: load })),
+                );
             }
         }
     }
@@ -341,7 +348,7 @@
         if self.now < self.members[member].silent_until {
             self.broken(client, 40.0, 160.0);
             self.nodes[node].clients.remove(&id);
-            self.hear(node, id, Said::Ended(Outcome::TimedOut, None));
+            self.on_front_event(node, id, FrontEvent::Ended(Outcome::TimedOut, None));
         }
     }
 
@@ -396,12 +403,12 @@
         tenants: plan.tenants.iter().map(tenant).collect(),
         probing: true,
         reports: true,
-        tells_delay: true,
+        reports_message_delay: true,
         cancel: true,
         discovery_on_request: true,
-        most_tries: 6,
+        max_attempts: 6,
         max_retry_after_ms: 1_000.0,
-        cold_ms: COLD_MS,
+        warm_up_ms: COLD_MS,
         ..Settings::default()
     };
     Settled {
--- a/crates/world/src/members.rs
+++ b/crates/world/src/members.rs
@@ -48,7 +48,7 @@
             } else {
                 self.release(client);
             }
-            self.hear(node, id, Said::Ended(Outcome::Reset, None));
+            self.on_front_event(node, id, FrontEvent::Ended(Outcome::Reset, None));
         }
         self.members[which].held = 0;
         let name = self.members[which].name.clone();
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -22,7 +22,7 @@
                 started: now,
                 base: now,
                 wall: now,
-                site: recorded_site(&self.settled),
+                site: site_header(&self.settled),
                 counters: Counters::NAMES.iter().map(|name| (*name).to_owned()).collect(),
                 ..Header::default()
             };
@@ -58,7 +58,7 @@
         self.flush(at, false);
         let now = self.now;
         if let Some(broker) = &mut self.nodes[at].broker {
-            broker.stopped(now);
+            broker.record_stopped(now);
         }
         self.flush(at, false);
         let node = &mut self.nodes[at];
@@ -74,17 +74,17 @@
         let (Some(broker), Some(writer)) = (&mut node.broker, &mut node.writer) else { return };
         node.flushes += 1;
         if node.flushes.is_multiple_of(10) {
-            broker.counted(now, now);
+            broker.record_counters(now, now);
         }
-        let taken = broker.taken(Vec::new());
-        if let Some((missed, since)) = taken.missed {
+        let take_records = broker.take_records(Vec::new());
+        if let Some((missed, since)) = take_records.missed {
             writer.missed(missed, since);
         }
         if now < node.deaf_until {
-            let first = taken.records.first().map_or(now, |record| record.at);
-            writer.missed(taken.records.len() as u64, first);
-        } else if !killed || taken.records.len() > 1 {
-            writer.write(now, now, &taken.records);
+            let first = take_records.records.first().map_or(now, |record| record.at);
+            writer.missed(take_records.records.len() as u64, first);
+        } else if !killed || take_records.records.len() > 1 {
+            writer.write(now, now, &take_records.records);
         }
     }
 
@@ -93,22 +93,22 @@
         let now = self.now;
         let broker = self.nodes[node].broker.as_mut()?;
         let done = act(broker, now);
-        let orders: Vec<Order> = std::iter::from_fn(|| broker.order()).collect();
-        for order in orders {
-            self.carry_out(node, order);
+        let driver_commands: Vec<DriverCommand> = std::iter::from_fn(|| broker.driver_command()).collect();
+        for driver_command in driver_commands {
+            self.carry_out(node, driver_command);
         }
         Some(done)
     }
 
-    pub(crate) fn hear(&mut self, node: usize, id: TransactionId, said: Said) {
-        self.with(node, |broker, now| broker.hear(now, id, said));
+    pub(crate) fn on_front_event(&mut self, node: usize, id: TransactionId, said: FrontEvent) {
+        self.with(node, |broker, now| broker.on_front_event(now, id, said));
     }
 
-    pub(crate) fn carry_out(&mut self, node: usize, order: Order) {
+    pub(crate) fn carry_out(&mut self, node: usize, driver_command: DriverCommand) {
         let run = self.nodes[node].run;
-        match order {
-            Order::Front(id, command) => self.command(node, id, command),
-            Order::Probe { dial, .. } => {
+        match driver_command {
+            DriverCommand::Front(id, command) => self.command(node, id, command),
+            DriverCommand::Probe { dial, .. } => {
                 if let Some(member) = self.members.iter().position(|member| member.name == dial) {
                     let sent = self.now;
                     let silent = !self.members[member].up || sent < self.members[member].silent_until;
@@ -116,9 +116,11 @@
                     self.set(sent + wait, Due::Probe { node, run, member, sent });
                 }
             }
-            Order::Opened => {}
-            Order::Watch(_) | Order::Fetch => self.set(self.now + LIST_MS, Due::List { node, run }),
-            Order::Log(_) => {}
+            DriverCommand::Opened => {}
+            DriverCommand::Watch(_) | DriverCommand::Fetch => {
+                self.set(self.now + LIST_MS, Due::List { node, run })
+            }
+            DriverCommand::Log(_) => {}
         }
     }
 
@@ -132,21 +134,21 @@
                 self.away(client);
                 self.nodes[node].clients.remove(&id);
                 let wait = ms.max(50.0) * self.between(1.0, 1.2);
-                self.come_again(client, wait, Coming::Retry);
+                self.come_again(client, wait, ArrivalKind::Retry);
             }
             Command::Fail(_) => {
                 self.truth.failed += 1;
                 self.away(client);
                 self.nodes[node].clients.remove(&id);
                 let wait = self.between(300.0, 900.0);
-                self.come_again(client, wait, Coming::Retry);
+                self.come_again(client, wait, ArrivalKind::Retry);
             }
             Command::Move => {
                 self.truth.moved += 1;
                 self.away(client);
                 self.nodes[node].clients.remove(&id);
                 let wait = self.between(40.0, 160.0);
-                self.come_again(client, wait, Coming::Return);
+                self.come_again(client, wait, ArrivalKind::Return);
             }
             Command::Ready | Command::Unready => {}
         }
@@ -177,8 +179,8 @@
         if outcome.is_some() {
             self.set(now + wait + crowd, Due::Answer { node, run, id, flow, outcome });
         } else {
-            self.hear(node, id, Said::Connected);
-            self.hear(node, id, Said::Sent);
+            self.on_front_event(node, id, FrontEvent::Connected);
+            self.on_front_event(node, id, FrontEvent::Sent);
         }
     }
 }
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,7 +1,7 @@
 //! The admin endpoint's protocol: one HTTP/1.1 request per connection (RFC 9112), as a parser that is fed bytes,
 //! and the responses.
 
-use crate::broker::{ClassCounts, Figures};
+use crate::broker::{ClassCounts, Stats};
 use hopmoor_agree::{Most, Part, Permit, Scope};
 use hopmoor_fleet::{self as fleet, View};
 use httparse::Status;
@@ -211,22 +211,22 @@
                 "name": &*seen.id.name, "state": seen.state.text(), "incarnation": seen.id.incarnation,
                 "advertise": seen.id.address.to_string(), "heard_ms": seen.heard_ms,
             });
-            if let Some(said) = &seen.said {
-                member["zone"] = json!(said.zone);
-                member["clients"] = json!(said.clients);
-                member["admin"] = json!(said.admin);
-                member["ready"] = json!(said.ready.text());
-                member["program"] = json!(hex(&said.program));
-                member["config"] = json!(hex(&said.config));
-                member["up_ms"] = json!(said.up_ms);
-                member["room"] = json!(said.room);
+            if let Some(info) = &seen.info {
+                member["zone"] = json!(info.zone);
+                member["clients"] = json!(info.clients);
+                member["admin"] = json!(info.admin);
+                member["ready"] = json!(info.ready.text());
+                member["program"] = json!(hex(&info.program));
+                member["config"] = json!(hex(&info.config));
+                member["up_ms"] = json!(info.up_ms);
+                member["room"] = json!(info.room);
             }
             member
         })
         .collect();
     let whole = json!({
         "node": &*view.id.name, "incarnation": view.id.incarnation, "digest": hex(&view.digest),
-        "settled": view.settled, "sharing": view.sharing, "doubts": view.doubts,
+        "settled": view.settled, "sharing": view.sharing, "doubts": view.health_score,
         "superseded_by": view.superseded_by.as_ref().map(|id| id.incarnation),
         "members": members,
     });
@@ -234,13 +234,9 @@
 }
 
 /// Formats the fleet metrics as lines `name=value`; the tuple counts nodes by state.
-pub fn format_fleet_metrics(
-    (alive, suspect, dead): (usize, usize, usize),
-    figures: &fleet::Figures,
-) -> String {
-    let fleet::Figures { datagrams_in, datagrams_out, bytes_in, bytes_out, refused, view_changes, .. } =
-        figures;
-    let fleet::Figures { exchanges, false_alarms, stalls, .. } = figures;
+pub fn format_fleet_metrics((alive, suspect, dead): (usize, usize, usize), stats: &fleet::Stats) -> String {
+    let fleet::Stats { datagrams_in, datagrams_out, bytes_in, bytes_out, refused, view_changes, .. } = stats;
+    let fleet::Stats { exchanges, false_alarms, stalls, .. } = stats;
     format!(
         "fleet.alive={alive}\nfleet.suspect={suspect}\nfleet.dead={dead}\nfleet.datagrams_in={datagrams_in}\n\
          fleet.datagrams_out={datagrams_out}\nfleet.bytes_in={bytes_in}\nfleet.bytes_out={bytes_out}\n\
@@ -250,9 +246,9 @@
 }
 
 /// Formats the node's metrics as lines `name=value`; `classes` holds the class names, indexed by class number.
-pub fn format_metrics(classes: &[String], figures: &Figures) -> String {
+pub fn format_metrics(classes: &[String], stats: &Stats) -> String {
     let mut text = String::new();
-    for (name, counts) in classes.iter().zip(&figures.classes) {
+    for (name, counts) in classes.iter().zip(&stats.classes) {
         let ClassCounts { served, refused, failed, attempts } = counts;
         for (what, count) in
             [("served", served), ("refused", refused), ("failed", failed), ("attempts", attempts)]
@@ -260,7 +256,7 @@
             let _ = writeln!(text, "node.requests.{name}.{what}={count}");
         }
     }
-    let Figures { in_flight, hosts_known, hosts_excluded, .. } = figures;
+    let Stats { in_flight, hosts_known, hosts_excluded, .. } = stats;
     let _ = write!(
         text,
         "node.in_flight={in_flight}\nnode.hosts_known={hosts_known}\nnode.hosts_excluded={hosts_excluded}\n"
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -33,8 +33,8 @@
 #[test]
 fn metrics_carry_the_names_of_the_classes() {
     let counts = ClassCounts { served: 812, refused: 2, failed: 1, attempts: 900 };
-    let figures = Figures { classes: vec![counts], in_flight: 14, hosts_known: 9, hosts_excluded: 1 };
-    let text = format_metrics(&["chat".into()], &figures);
+    let stats = Stats { classes: vec![counts], in_flight: 14, hosts_known: 9, hosts_excluded: 1 };
+    let text = format_metrics(&["chat".into()], &stats);
     assert_eq!(
         text,
         "node.requests.chat.served=812\nnode.requests.chat.refused=2\nnode.requests.chat.failed=1\n\
--- a/src/api.rs
+++ b/src/api.rs
@@ -113,7 +113,7 @@
     #[default]
     Proxy,
     /// Packets pass through; open connections may reach another relay.
-    Pass,
+    PassThrough,
 }
 
 /// What listed weights stand for.
@@ -148,7 +148,7 @@
     /// The backend list answers only when asked.
     pub discovery_on_request: bool,
     /// Ask at least this often while there is no subscription.
-    pub ask_within_ms: Millis,
+    pub discovery_poll_ms: Millis,
     /// Probes are allowed.
     pub probing: bool,
     /// Points of the result that a probe for each request costs.
@@ -156,11 +156,11 @@
     /// Attempts may be called off.
     pub cancel: bool,
     /// [`Event::MessageDelay`] comes while messages at a backend take long.
-    pub tells_delay: bool,
+    pub reports_message_delay: bool,
     /// Probes, or outcomes, bring load reports with load over capacity.
     pub reports: bool,
     /// Most attempts for one request.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// Refusals may carry a retry-after, up to this; 0 if not.
     pub max_retry_after_ms: Millis,
     /// A connection not established by then has failed.
@@ -168,11 +168,11 @@
     /// A backend starts at this fraction of its capacity or above.
     pub start_capacity: f64,
     /// A backend is warm after this at the latest.
-    pub cold_ms: Millis,
+    pub warm_up_ms: Millis,
     /// A cold backend sent more than this multiple of its present capacity falls over ...
     pub overload_factor: f64,
     /// ... when it lasts for this long.
-    pub fall_ms: Millis,
+    pub overload_span_ms: Millis,
 }
 
 impl Default for Settings {
@@ -186,19 +186,19 @@
             mode: Mode::Proxy,
             listed_weight: ListedWeight::Silent,
             discovery_on_request: false,
-            ask_within_ms: 10_000.0,
+            discovery_poll_ms: 10_000.0,
             probing: false,
             probe_price: 0.0,
             cancel: false,
-            tells_delay: false,
+            reports_message_delay: false,
             reports: false,
-            most_tries: 3,
+            max_attempts: 3,
             max_retry_after_ms: 0.0,
             connect_timeout_ms: 250.0,
             start_capacity: 0.1,
-            cold_ms: 30_000.0,
+            warm_up_ms: 30_000.0,
             overload_factor: 2.0,
-            fall_ms: 1_000.0,
+            overload_span_ms: 1_000.0,
         }
     }
 }
@@ -222,11 +222,11 @@
 
     /// First calls to discovery are spread over this.
     pub fn first_ask_ms(&self) -> Millis {
-        (f64::from(self.balancers) * 50.0).min(self.ask_within_ms / 2.0)
+        (f64::from(self.balancers) * 50.0).min(self.discovery_poll_ms / 2.0)
     }
 
     /// One gateway's part of the connections that all tenants may have open inside their shares; 0 if unstated.
-    pub fn quota_part(&self) -> f64 {
+    pub fn quota_per_node(&self) -> f64 {
         let all: f64 = self.tenants.iter().map(|tenant| tenant.quota_connections).sum();
         all / f64::from(self.balancers.max(1))
     }
@@ -347,7 +347,7 @@
     /// A call to discovery failed or the subscription broke.
     DiscoveryFailed,
     /// So many gateways share the pool, this one included: what the settings say of it is overtaken.
-    Sharing(u32),
+    NodeCount(u32),
     /// A client asks for a connection.
     Request(Request),
     /// A connection that was open through this gateway when it started.
@@ -389,12 +389,12 @@
         report: Option<Report>,
     },
     /// The client left; no answer is owed any more.
-    Departed {
+    ClientGone {
         /// Which request.
         id: RequestId,
     },
     /// The gateway ends: whoever waits is to be answered by then.
-    Ending {
+    ShuttingDown {
         /// When.
         by: Millis,
     },
@@ -477,7 +477,7 @@
         backend: BackendId,
     },
     /// Send bytes to one other gateway, or to all.
-    Tell {
+    SendToPeer {
         /// Its number; `None` for all.
         peer: Option<u32>,
         /// At most 256 bytes.
--- a/src/bin/hopmoor-drill.rs
+++ b/src/bin/hopmoor-drill.rs
@@ -6,7 +6,7 @@
 fn main() -> ExitCode {
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
-    let mut host = hopmoor::drill::Host::default();
+    let mut host = hopmoor::drill::Adapter::default();
     let mut line = Vec::new();
     for number in 1u64.. {
         line.clear();
--- a/src/broker/adoption.rs
+++ b/src/broker/adoption.rs
@@ -6,7 +6,7 @@
 //! placed like a new one. A member that drains still holds what it held.
 
 use super::*;
-use crate::freshness::TOLD_MS;
+use crate::freshness::CHANGE_KNOWN_AFTER_MS;
 
 /// Pause before a member that did not take its connection is tried again; it grows by the next with each try.
 const FIRST_PAUSE_MS: Millis = 500.0;
@@ -61,10 +61,10 @@
         if adoption.listed {
             return Holder::Gone;
         }
-        let wait_ms = TOLD_MS.min((t.deadline - t.asked) * UNLISTED_PART);
+        let wait_ms = CHANGE_KNOWN_AFTER_MS.min((t.deadline - t.asked) * UNLISTED_PART);
         // A list says nothing about who is not on it while it may be overtaken, or where discovery has not answered since, as in an
         // outage that renews the lease.
-        let told = self.lease.holds(now) && self.last_answer >= t.asked;
+        let told = self.lease.is_valid(now) && self.last_answer >= t.asked;
         if told && now - t.asked >= wait_ms { Holder::Gone } else { Holder::Awaited }
     }
 
@@ -84,8 +84,8 @@
             Holder::Awaited => {
                 if self.awaiting.insert(id) {
                     self.counters.adoptions_awaited += 1;
-                    self.log(LogLine::AwaitsList(id));
-                    self.timers.set(now + TOLD_MS.min(left * UNLISTED_PART), Due::Adopt(id));
+                    self.log(LogLine::AdoptionAwaitsList(id));
+                    self.timers.set(now + CHANGE_KNOWN_AFTER_MS.min(left * UNLISTED_PART), Due::Adopt(id));
                 }
             }
             Holder::Gone => self.place_anew(now, id),
@@ -124,7 +124,7 @@
         t.uncounted = t.flows - t.attempts;
         t.request.grace_ms = (t.deadline - now).max(0.0);
         let request = t.request;
-        self.log(LogLine::PlacedAnew(id));
+        self.log(LogLine::AdoptedMemberGone(id));
         self.feed(now, Event::Request(request));
     }
 
--- a/src/broker/adoption/tests.rs
+++ b/src/broker/adoption/tests.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 fn standing(bench: &mut Bench, holder: &str, grace_ms: Millis) -> TransactionId {
-    bench.open(Ask { adopted: Some(holder.into()), grace_ms, ..ask() })
+    bench.open(ClientRequest { adopted: Some(holder.into()), grace_ms, ..ask() })
 }
 
 fn up(bench: &mut Bench, id: TransactionId) {
-    bench.hear(id, Said::Connected);
-    bench.hear(id, Said::Sent);
-    bench.hear(id, Said::Up);
+    bench.on_front_event(id, FrontEvent::Connected);
+    bench.on_front_event(id, FrontEvent::Sent);
+    bench.on_front_event(id, FrontEvent::Up);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let id = standing(&mut bench, "b", 40_000.0);
     for at in 1..20 {
         bench.run(f64::from(at) * 1_000.0);
-        bench.hear(id, Said::Ended(Outcome::Unreachable, None));
+        bench.on_front_event(id, FrontEvent::Ended(Outcome::Unreachable, None));
     }
     bench.run(22_500.0);
     assert!(opened(&bench.commands(id)).len() > 6);
@@ -97,9 +97,9 @@
         bench.run(f64::from(at) * 100.0);
         if opened(&bench.commands(id)).len() > asked.len() {
             asked.push(bench.now);
-            bench.hear(id, Said::Connected);
-            bench.hear(id, Said::Sent);
-            bench.hear(id, Said::Ended(Outcome::Full, None));
+            bench.on_front_event(id, FrontEvent::Connected);
+            bench.on_front_event(id, FrontEvent::Sent);
+            bench.on_front_event(id, FrontEvent::Ended(Outcome::Full, None));
         }
     }
     assert_eq!((asked.len(), bench.answers(id)), (6, 1));
@@ -120,7 +120,7 @@
 #[test]
 fn an_outage_of_discovery_decides_nothing_about_a_member_that_was_not_known() {
     let mut bench = Bench::new(&["a"]);
-    bench.broker.lists_are_leased(750.0);
+    bench.broker.enable_list_lease(750.0);
     let id = standing(&mut bench, "z", 40_000.0);
     for second in 1..15 {
         bench.run(1_000.0 * f64::from(second));
--- a/src/broker/counters.rs
+++ b/src/broker/counters.rs
@@ -1,6 +1,6 @@
 //! Counters of what is taken in, sent and answered.
 
-use super::Bad;
+use super::ClientError;
 use crate::api::{ClassId, Outcome};
 use std::fmt;
 
@@ -43,7 +43,7 @@
 
 /// What the node shows of itself at this moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// By class, in the order of their numbers.
     pub classes: Vec<ClassCounts>,
     /// Transactions taken in and not ended: those that wait for their answer, and connections that stand.
@@ -166,13 +166,13 @@
     held,
 }
 
-pub(super) fn count_bad(counters: &mut Counters, bad: Bad) {
+pub(super) fn count_bad(counters: &mut Counters, bad: ClientError) {
     let counter = match bad {
-        Bad::Malformed => &mut counters.bad_malformed,
-        Bad::TooLong => &mut counters.bad_too_long,
-        Bad::Unknown => &mut counters.bad_unknown,
-        Bad::HalfClosed => &mut counters.bad_half_closed,
-        Bad::Silent => &mut counters.bad_silent,
+        ClientError::Malformed => &mut counters.bad_malformed,
+        ClientError::TooLong => &mut counters.bad_too_long,
+        ClientError::Unknown => &mut counters.bad_unknown,
+        ClientError::HalfClosed => &mut counters.bad_half_closed,
+        ClientError::Silent => &mut counters.bad_silent,
     };
     *counter += 1;
 }
--- a/src/broker/flows.rs
+++ b/src/broker/flows.rs
@@ -20,11 +20,11 @@
         let name = self.pool.name(member);
         let (attempt, outcome) = (t.flows, Outcome::NotSent);
         self.counters.permits_denied += 1;
-        self.tape.note(now, || {
+        self.recorder.note(now, || {
             let what = format!("attempt of transaction {} at {name} withheld", id.0);
             record::Fault { what }.into()
         });
-        self.log(LogLine::Withheld(id, name));
+        self.log(LogLine::AttemptDenied(id, name));
         let ended = Event::Ended { id, attempt, backend: member, outcome, closed: false, report: None };
         self.events.push_back(ended);
     }
@@ -74,7 +74,8 @@
         });
         self.timers.set(now + connect_ms, Due::Connect(id, attempt));
         self.timers.set(now + wait_ms, Due::Flow(id, attempt));
-        self.orders.push_back(Order::Front(id, Command::Open { dial, member: name, wait_ms }));
+        self.driver_commands
+            .push_back(DriverCommand::Front(id, Command::Open { dial, member: name, wait_ms }));
     }
 
     pub(super) fn flow_ended(
@@ -108,7 +109,7 @@
         if outcome != Outcome::Ok && outcome != Outcome::Cancelled {
             let (member, took_ms) = (t.member_name.clone(), now - t.sent);
             let line = LogLine::Flow { id, member, outcome, took_ms, stood };
-            self.orders.push_back(Order::Log(line));
+            self.driver_commands.push_back(DriverCommand::Log(line));
         }
         t.stage = Stage::Held;
         t.may_have_run |= may_have_run(outcome);
@@ -151,7 +152,7 @@
                 self.send_away(now, id, record::Reason::Negotiation);
             } else {
                 let outcome = if written { Outcome::Cancelled } else { Outcome::NotSent };
-                self.orders.push_back(Order::Front(id, Command::Abandon));
+                self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
                 self.flow_ended(now, id, outcome, None);
             }
         }
@@ -179,7 +180,7 @@
     }
 
     pub(super) fn give_up(&mut self, now: Millis, id: TransactionId, outcome: Outcome) {
-        self.orders.push_back(Order::Front(id, Command::Abandon));
+        self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
         self.flow_ended(now, id, outcome, None);
     }
 }
--- a/src/broker/leaving/tests.rs
+++ b/src/broker/leaving/tests.rs
@@ -6,7 +6,7 @@
     Drain,
     Resume,
     End,
-    Ask,
+    ClientRequest,
     Leave,
     Wait,
 }
@@ -14,7 +14,7 @@
 fn calls() -> impl Strategy<Value = Vec<Call>> {
     use Call::*;
     let one = prop_oneof![
-        1 => Just(Drain), 1 => Just(Resume), 1 => Just(End), 6 => Just(Ask), 2 => Just(Leave), 20 => Just(Wait)
+        1 => Just(Drain), 1 => Just(Resume), 1 => Just(End), 6 => Just(ClientRequest), 2 => Just(Leave), 20 => Just(Wait)
     ];
     prop::collection::vec(one, 1..400)
 }
@@ -46,7 +46,7 @@
                     prop_assert_eq!(leaving.end(now, ending), anew);
                     since = if anew { Some((now, ending.by + STEP_MS)) } else { since };
                 }
-                Call::Ask => standing += 1,
+                Call::ClientRequest => standing += 1,
                 Call::Leave => standing = standing.saturating_sub(1),
                 Call::Wait => now += STEP_MS,
             }
--- a/src/broker/words.rs
+++ b/src/broker/messages.rs
@@ -8,7 +8,7 @@
 
 /// What a client asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// What the client calls it, where the wire has it name it: no two that are open may share one.
     pub name: Option<Box<str>>,
     /// Its class.
@@ -26,14 +26,14 @@
     /// The member that already holds it.
     pub adopted: Option<String>,
     /// Whether it has been here before, as far as it says.
-    pub coming: Coming,
+    pub coming: ArrivalKind,
     /// Setting it up takes several exchanges with the member, which end when the member drains.
     pub negotiates: bool,
 }
 
 /// Whether a client has been here before, as far as its wire has it say so.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Coming {
+pub enum ArrivalKind {
     /// For the first time, or it does not say.
     #[default]
     First,
@@ -45,9 +45,9 @@
 
 /// What a front says of a transaction.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum FrontEvent {
     /// The client has asked.
-    Ask(Ask),
+    ClientRequest(ClientRequest),
     /// A readiness check waits for [`Command::Ready`] or [`Command::Unready`].
     Ping,
     /// The flow has a connection.
@@ -61,7 +61,7 @@
     /// The flow ended.
     Ended(Outcome, Option<Report>),
     /// The member told the client to come again, and has ended the connection.
-    SentAway,
+    MovedByMember,
     /// The client is gone.
     Left,
     /// A relayed line was answered by the member after this time.
@@ -69,12 +69,12 @@
     /// The connection's load, in microseconds of work a second.
     Load(f64),
     /// The client sent something that can't be taken; it was answered by the front.
-    Bad(Bad),
+    ClientError(ClientError),
 }
 
 /// What is wrong with what a client sent, or did not send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum ClientError {
     /// It can't be read, or says what can't be.
     Malformed,
     /// It is longer than is taken.
@@ -130,7 +130,7 @@
 
 /// What the driver is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum DriverCommand {
     /// Hand this to the transaction's front.
     Front(TransactionId, Command),
     /// Probe a member and report with [`super::Broker::probed`].
@@ -167,19 +167,19 @@
         listed: usize,
     },
     /// A connection from before the run waits for a list that names its member.
-    AwaitsList(TransactionId),
+    AdoptionAwaitsList(TransactionId),
     /// The member that held a connection from before the run is gone: it is placed like a new one.
-    PlacedAnew(TransactionId),
+    AdoptedMemberGone(TransactionId),
     /// An attempt waits for an answer of discovery: the list at hand may have been overtaken.
     Parked(TransactionId),
     /// The module named a member that may not be sent to.
-    Withheld(TransactionId, String),
+    AttemptDenied(TransactionId, String),
     /// A client asked under the name of another transaction that is open.
     Duplicate(TransactionId, Box<str>),
     /// A pool member changed.
     Member(String, Phase),
     /// Messages at a member take long, or no longer do.
-    Slow(String, Millis),
+    SlowMessages(String, Millis),
     /// A list or a patch of it was taken from discovery.
     List {
         /// Its version.
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,8 +1,8 @@
 //! The core: transactions, their server-side flows, the pool and every deadline.
 //!
-//! It knows no wire, no socket and no clock. A front says what a client or a pool member did ([`Said`]); the
+//! It knows no wire, no socket and no clock. A front says what a client or a pool member did ([`FrontEvent`]); the
 //! broker feeds the decision module the events that the simulator would give and turns the module's actions
-//! into [`Order`]s. Every rule that both fronts must keep is kept here: one final answer per transaction in
+//! into [`DriverCommand`]s. Every rule that both fronts must keep is kept here: one final answer per transaction in
 //! time, at most one flow out, nothing new to a member that drains or is gone.
 
 mod adoption;
@@ -10,18 +10,18 @@
 mod delay;
 mod flows;
 mod leaving;
+mod messages;
 mod moves;
 mod permit;
 mod pool;
 mod probing;
+mod recorder;
 mod requests;
-mod tape;
 mod timers;
-mod words;
 
-pub use counters::{ClassCounts, Counters, Figures};
-pub use tape::{Taken, site as recorded_site};
-pub use words::*;
+pub use counters::{ClassCounts, Counters, Stats};
+pub use messages::*;
+pub use recorder::{RecordBatch, site as site_header};
 
 use crate::api::*;
 use crate::config::Site;
@@ -33,11 +33,11 @@
 use hopmoor_record as record;
 pub use leaving::Unready;
 use leaving::{Ending, Leaving, Spread};
+pub use pool::ListError;
 use pool::Pool;
-pub use pool::Unfit;
 use probing::Probing;
+use recorder::Recorder;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tape::Tape;
 use timers::Timers;
 
 /// Attempts of one transaction, whatever the settings say.
@@ -129,20 +129,20 @@
     superseded: bool,
     /// A step of it is due.
     stepping: bool,
-    orders: VecDeque<Order>,
+    driver_commands: VecDeque<DriverCommand>,
     counters: Counters,
     classes: Classes,
-    tape: Tape,
+    recorder: Recorder,
 }
 
 impl Broker {
     /// A broker that knows the pool as it was last known.
     pub fn new(now: Millis, site: &Site, seed: u64, known: PoolList) -> Self {
         let settings = site.settings.clone();
-        let delays = Delays::new(settings.tells_delay, settings.shortest_message_aim());
+        let delays = Delays::new(settings.reports_message_delay, settings.shortest_message_aim());
         let mut broker = Broker {
             connect_ms: settings.connect_timeout_ms,
-            most_flows: settings.most_tries.clamp(1, MOST_FLOWS),
+            most_flows: settings.max_attempts.clamp(1, MOST_FLOWS),
             delays,
             probing: Probing::new(now, &settings, seed),
             balancer: crate::Balancer::new(settings, seed),
@@ -164,10 +164,10 @@
             ending: Ending::new(site.longest_deadline_ms),
             superseded: false,
             stepping: false,
-            orders: VecDeque::new(),
+            driver_commands: VecDeque::new(),
             counters: Counters::default(),
             classes: Classes::new(site.classes.len()),
-            tape: Tape::default(),
+            recorder: Recorder::default(),
         };
         broker.list(now, known, ListScope::Stale);
         if broker.delays.wanted() && site.settings.probing {
@@ -177,38 +177,38 @@
     }
 
     /// The pool comes from discovery: nothing new is sent by a list that may have been overtaken, see `src/freshness.rs`.
-    pub fn lists_are_leased(&mut self, stop_sending_ms: Millis) {
+    pub fn enable_list_lease(&mut self, stop_sending_ms: Millis) {
         self.lease = Lease::none(stop_sending_ms);
     }
 
     /// Whether the list at hand holds.
     pub fn list_holds(&self, now: Millis) -> bool {
-        self.lease.holds(now)
+        self.lease.is_valid(now)
     }
 
     /// Discovery has answered that there is nothing new, at the time `as_of`: an answer that took long to come is older than its end.
     pub fn list_confirmed(&mut self, now: Millis, as_of: Millis) {
-        self.lease.answered(as_of);
+        self.lease.renew(as_of);
         self.last_answer = self.last_answer.max(as_of);
         self.unpark(now);
         self.seek_awaited(now);
     }
 
     /// An answer of discovery that began at this time can't be read, or stands still.
-    pub fn answer_spoilt(&mut self, began: Millis) {
+    pub fn discovery_answer_invalid(&mut self, began: Millis) {
         self.counters.answers_spoilt += 1;
-        self.lease.spoilt(began);
+        self.lease.answer_invalid(began);
     }
 
     /// A call failed and is made again at once.
-    pub fn discovery_called_again(&mut self) {
+    pub fn discovery_call_retried(&mut self) {
         self.counters.discovery_failures += 1;
     }
 
     /// A call to discovery has failed.
     pub fn call_failed(&mut self, now: Millis, failure: CallFailure) {
         self.lease.call_failed(now, failure);
-        if self.lease.holds(now) {
+        if self.lease.is_valid(now) {
             self.unpark(now);
         }
     }
@@ -228,7 +228,7 @@
     }
 
     /// What it shows of itself now.
-    pub fn figures(&self, now: Millis) -> Figures {
+    pub fn stats(&self, now: Millis) -> Stats {
         let avoided: BTreeSet<_> = self
             .balancer
             .member_views(now)
@@ -236,7 +236,7 @@
             .map(|view| view.member)
             .collect();
         let excluded = |id: &BackendId| !self.pool.serving(*id) || avoided.contains(id);
-        Figures {
+        Stats {
             classes: self.classes.all().to_vec(),
             in_flight: self.transactions.len(),
             hosts_known: self.pool.members().count(),
@@ -245,7 +245,7 @@
     }
 
     /// So many clients without a first line gave way to others.
-    pub fn crowded_out(&mut self, clients: u64) {
+    pub fn clients_evicted(&mut self, clients: u64) {
         self.counters.bad_crowded_out += clients;
     }
 
@@ -266,8 +266,8 @@
     }
 
     /// What the driver is to do next, in order.
-    pub fn order(&mut self) -> Option<Order> {
-        self.orders.pop_front()
+    pub fn driver_command(&mut self) -> Option<DriverCommand> {
+        self.driver_commands.pop_front()
     }
 
     /// When [`Broker::tick`] is due.
@@ -293,15 +293,15 @@
     /// Nothing waits any more for the first word of discovery.
     pub fn set_ready(&mut self) {
         if !std::mem::replace(&mut self.ready, true) {
-            self.orders.push_back(Order::Opened);
+            self.driver_commands.push_back(DriverCommand::Opened);
         }
         for id in std::mem::take(&mut self.pings) {
-            self.orders.push_back(Order::Front(id, Command::Ready));
+            self.driver_commands.push_back(DriverCommand::Front(id, Command::Ready));
         }
     }
 
     /// Whether the node would serve a new client now: a list is in use, and it neither drains nor ends.
-    pub fn standing_by(&self) -> Result<(), Unready> {
+    pub fn readiness(&self) -> Result<(), Unready> {
         match self.leaving {
             Leaving::Not if self.superseded => Err(Unready::Superseded),
             Leaving::Not if !self.ready => Err(Unready::NoList),
@@ -323,7 +323,7 @@
     ///
     /// # Errors
     /// If the list is not taken: the one at hand stands.
-    pub fn listed(&mut self, now: Millis, list: PoolList, as_of: Millis) -> Result<(), Unfit> {
+    pub fn listed(&mut self, now: Millis, list: PoolList, as_of: Millis) -> Result<(), ListError> {
         self.pool.fits(&list)?;
         self.counters.lists += 1;
         self.log(LogLine::List { seq: list.seq, whole: list.whole });
@@ -355,23 +355,23 @@
 
     /// The configuration or the inventory was read anew, and taken or not.
     pub fn reloaded(&mut self, now: Millis, taken: bool) {
-        self.tape.note(now, || record::Reloaded { taken }.into());
+        self.recorder.note(now, || record::Reloaded { taken }.into());
         let counter = if taken { &mut self.counters.reloads } else { &mut self.counters.reloads_refused };
         *counter += 1;
     }
 
     /// Discovery is watched elsewhere from now on, whether or not it was watched until now.
-    pub fn rewatch(&mut self, now: Millis) {
-        self.lease.moved(now);
+    pub fn discovery_replaced(&mut self, now: Millis) {
+        self.lease.discovery_changed(now);
         self.pool.refresh();
         self.watching = true;
-        self.orders.push_back(Order::Watch(true));
+        self.driver_commands.push_back(DriverCommand::Watch(true));
     }
 
     /// A call to discovery failed, or the watch broke.
     pub fn discovery_failed(&mut self, now: Millis) {
         self.counters.discovery_failures += 1;
-        self.tape.note(now, || record::Blind {}.into());
+        self.recorder.note(now, || record::Blind {}.into());
         self.watching = false;
         self.feed(now, Event::DiscoveryFailed);
     }
@@ -379,29 +379,31 @@
     /// So many nodes share the pool, this one included, as far as its view of the fleet tells.
     pub fn sharing(&mut self, now: Millis, nodes: u32) {
         self.probing.sharing(nodes);
-        self.feed(now, Event::Sharing(nodes));
+        self.feed(now, Event::NodeCount(nodes));
     }
 
     // ---- What fronts say ----
 
     /// Takes what a front says of a transaction.
-    pub fn hear(&mut self, now: Millis, id: TransactionId, said: Said) {
+    pub fn on_front_event(&mut self, now: Millis, id: TransactionId, said: FrontEvent) {
         match said {
-            Said::Ask(ask) => self.asked(now, id, ask),
-            Said::Ping if self.superseded || !self.leaving.takes_clients() => {
-                self.orders.push_back(Order::Front(id, Command::Unready))
+            FrontEvent::ClientRequest(ask) => self.asked(now, id, ask),
+            FrontEvent::Ping if self.superseded || !self.leaving.takes_clients() => {
+                self.driver_commands.push_back(DriverCommand::Front(id, Command::Unready))
             }
-            Said::Ping if self.ready => self.orders.push_back(Order::Front(id, Command::Ready)),
-            Said::Ping => self.pings.push(id),
-            Said::Bad(bad) => count_bad(&mut self.counters, bad),
-            Said::Connected => {
+            FrontEvent::Ping if self.ready => {
+                self.driver_commands.push_back(DriverCommand::Front(id, Command::Ready))
+            }
+            FrontEvent::Ping => self.pings.push(id),
+            FrontEvent::ClientError(bad) => count_bad(&mut self.counters, bad),
+            FrontEvent::Connected => {
                 if let Some(t) = self.transactions.get_mut(&id)
                     && matches!(t.stage, Stage::Out { .. })
                 {
                     t.stage = Stage::Out { connected: true };
                 }
             }
-            Said::Sent => {
+            FrontEvent::Sent => {
                 if let Some(t) = self.transactions.get_mut(&id)
                     && matches!(t.stage, Stage::Out { .. })
                     && !std::mem::replace(&mut t.written, true)
@@ -410,22 +412,22 @@
                     self.classes.of(t.request.class).attempts += 1;
                 }
             }
-            Said::Committed => {
+            FrontEvent::Committed => {
                 if let Some(t) = self.transactions.get_mut(&id) {
                     t.committed = true;
                 }
             }
-            Said::Up => self.up(now, id),
-            Said::Ended(outcome, report) => self.flow_ended(now, id, outcome, report),
-            Said::SentAway => self.sent_away(now, id),
-            Said::Left => self.left(now, id),
-            Said::Message(took_ms) => {
+            FrontEvent::Up => self.up(now, id),
+            FrontEvent::Ended(outcome, report) => self.flow_ended(now, id, outcome, report),
+            FrontEvent::MovedByMember => self.sent_away(now, id),
+            FrontEvent::Left => self.left(now, id),
+            FrontEvent::Message(took_ms) => {
                 let up = self.transactions.get(&id).filter(|t| t.stage == Stage::Up);
                 let Some(member) = up.and_then(|t| t.member) else { return };
                 let told = self.delays.measured(now, member, took_ms);
                 self.tell_delay(now, member, told);
             }
-            Said::Load(load) => self.feed(now, Event::LoadChanged { id, load }),
+            FrontEvent::Load(load) => self.feed(now, Event::LoadChanged { id, load }),
         }
     }
 
@@ -452,7 +454,7 @@
             Action::Attempt { id, backend, timeout_ms } => self.attempt(now, id, backend, timeout_ms),
             Action::CancelAttempt { id, .. } => {
                 if matches!(self.transactions.get(&id), Some(t) if matches!(t.stage, Stage::Out { .. })) {
-                    self.orders.push_back(Order::Front(id, Command::Abandon));
+                    self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
                     self.flow_ended(now, id, Outcome::Cancelled, None);
                 }
             }
@@ -466,15 +468,15 @@
             Action::Probe { backend } => self.probe_for_module(backend),
             Action::Subscribe { on } => {
                 if on != std::mem::replace(&mut self.watching, on) {
-                    self.orders.push_back(Order::Watch(on));
+                    self.driver_commands.push_back(DriverCommand::Watch(on));
                 }
             }
-            Action::FetchList => self.orders.push_back(Order::Fetch),
+            Action::FetchList => self.driver_commands.push_back(DriverCommand::Fetch),
             // Flows are never reused and nodes do not talk to each other: nothing to close, nobody to tell.
-            Action::CloseIdle { .. } | Action::Tell { .. } => {}
+            Action::CloseIdle { .. } | Action::SendToPeer { .. } => {}
             Action::Log(what) => self.log(LogLine::Module(what)),
             Action::Fault(what) => {
-                self.tape.note(now, || record::Fault { what: what.chars().take(200).collect() }.into());
+                self.recorder.note(now, || record::Fault { what: what.chars().take(200).collect() }.into());
                 self.log(LogLine::Fault(what))
             }
             Action::SetTimer { at, id } => self.timers.set(at, Due::Module(id)),
@@ -482,7 +484,7 @@
     }
 
     fn log(&mut self, line: LogLine) {
-        self.orders.push_back(Order::Log(line));
+        self.driver_commands.push_back(DriverCommand::Log(line));
     }
 
     // ---- Time ----
--- a/src/broker/moves.rs
+++ b/src/broker/moves.rs
@@ -1,8 +1,8 @@
 //! Clients that are told to come again: because the node ends, or because their member does.
 
 use super::leaving::{STEP_MS, Spread};
-use super::tape::number;
-use super::{Broker, Command, Due, LogLine, Order, Stage, Transaction, TransactionId};
+use super::recorder::number;
+use super::{Broker, Command, DriverCommand, Due, LogLine, Stage, Transaction, TransactionId};
 use crate::api::*;
 use hopmoor_record::{self as record, Reason};
 
@@ -33,11 +33,11 @@
         let Some(backend) = t.member else { return };
         self.counters.moved += 1;
         let stood_ms = (t.stage == Stage::Up).then_some((now - t.sent) as f32);
-        self.tape.note(now, || {
+        self.recorder.note(now, || {
             record::Moved { transaction: id.0, member: number(backend), reason, stood_ms }.into()
         });
         self.log(LogLine::Moved(id, t.member_name.clone(), reason));
-        self.orders.push_back(Order::Front(id, Command::Move));
+        self.driver_commands.push_back(DriverCommand::Front(id, Command::Move));
         let (attempt, outcome) = (t.flows.saturating_sub(1), Outcome::Cancelled);
         self.feed(now, Event::Ended { id, attempt, backend, outcome, closed: true, report: None });
     }
@@ -48,7 +48,7 @@
         let (member, stood_ms) = (t.member, Some((now - t.sent) as f32));
         if let Some(member) = member {
             let (member, reason) = (number(member), Reason::Member);
-            self.tape.note(now, || record::Moved { transaction: id.0, member, reason, stood_ms }.into());
+            self.recorder.note(now, || record::Moved { transaction: id.0, member, reason, stood_ms }.into());
         }
         self.flow_over(now, id, Outcome::Cancelled, None);
     }
@@ -58,7 +58,7 @@
         if self.leaving.drain(now) {
             self.begin_leaving(now);
             for id in std::mem::take(&mut self.pings) {
-                self.orders.push_back(Order::Front(id, Command::Unready));
+                self.driver_commands.push_back(DriverCommand::Front(id, Command::Unready));
             }
         }
         !self.leaving.ends()
@@ -74,7 +74,7 @@
     pub fn leave(&mut self, now: Millis) -> Millis {
         if self.leaving.end(now, self.ending) {
             let transactions = self.transactions.len() as u32;
-            self.tape.note(now, || record::Leaving { transactions }.into());
+            self.recorder.note(now, || record::Leaving { transactions }.into());
             self.begin_leaving(now);
             self.hasten(now, now + self.ending.by);
         }
@@ -91,7 +91,7 @@
                 self.timers.set(by + STEP_MS, Due::Answer(*id));
             }
         }
-        self.feed(now, Event::Ending { by });
+        self.feed(now, Event::ShuttingDown { by });
     }
 
     fn begin_leaving(&mut self, now: Millis) {
--- a/src/broker/permit.rs
+++ b/src/broker/permit.rs
@@ -48,7 +48,7 @@
         if !self.pool.serving(member) {
             return Err(Denied::Member);
         }
-        if !self.lease.holds(now) {
+        if !self.lease.is_valid(now) {
             return Err(Denied::List);
         }
         Ok(permit)
--- a/src/broker/pool.rs
+++ b/src/broker/pool.rs
@@ -9,7 +9,7 @@
 
 /// Why a list is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum ListError {
     /// It names nobody, and somebody is known.
     Empty,
     /// It is older than the one at hand.
@@ -21,16 +21,16 @@
     },
 }
 
-impl std::fmt::Display for Unfit {
+impl std::fmt::Display for ListError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unfit::Empty => f.write_str("the list names nobody"),
-            Unfit::Older { seq, at_hand } => write!(f, "version {seq} is older than {at_hand}"),
+            ListError::Empty => f.write_str("the list names nobody"),
+            ListError::Older { seq, at_hand } => write!(f, "version {seq} is older than {at_hand}"),
         }
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for ListError {}
 
 #[derive(Default)]
 pub(super) struct Pool {
@@ -44,14 +44,14 @@
 impl Pool {
     /// Whether a list or changes may be taken. The last good list stands against one that is empty or older: a copy that
     /// lags behind would bring back who drains.
-    pub(super) fn fits(&mut self, list: &PoolList) -> Result<(), Unfit> {
+    pub(super) fn fits(&mut self, list: &PoolList) -> Result<(), ListError> {
         if list.whole && list.members.is_empty() && !self.members.is_empty() {
-            return Err(Unfit::Empty);
+            return Err(ListError::Empty);
         }
         if list.seq < self.seq && !self.fresh {
             self.older += 1;
             if !list.whole || self.older < OLDER_MOST {
-                return Err(Unfit::Older { seq: list.seq, at_hand: self.seq });
+                return Err(ListError::Older { seq: list.seq, at_hand: self.seq });
             }
         }
         (self.older, self.fresh) = (0, false);
--- a/src/broker/pool/tests.rs
+++ b/src/broker/pool/tests.rs
@@ -13,7 +13,7 @@
     PoolList { seq, whole, members: names.iter().map(member).collect() }
 }
 
-fn take(pool: &mut Pool, list: PoolList) -> Result<(), Unfit> {
+fn take(pool: &mut Pool, list: PoolList) -> Result<(), ListError> {
     pool.fits(&list)?;
     let whole = list.whole;
     pool.merge(list, whole);
@@ -25,8 +25,8 @@
     let mut pool = Pool::default();
     assert_eq!(take(&mut pool, list(0, true, &[])), Ok(()), "nobody is known yet");
     take(&mut pool, list(41, true, &["a", "b"])).unwrap();
-    assert_eq!(take(&mut pool, list(42, true, &[])), Err(Unfit::Empty));
-    let older = |seq| Err(Unfit::Older { seq, at_hand: 41 });
+    assert_eq!(take(&mut pool, list(42, true, &[])), Err(ListError::Empty));
+    let older = |seq| Err(ListError::Older { seq, at_hand: 41 });
     assert_eq!(take(&mut pool, list(40, true, &["a"])), older(40));
     assert_eq!(take(&mut pool, list(40, false, &["c"])), older(40));
     assert_eq!((pool.members().count(), pool.seq), (2, 41));
--- a/src/broker/probing.rs
+++ b/src/broker/probing.rs
@@ -34,7 +34,7 @@
 
 impl Probing {
     pub(super) fn new(now: Millis, settings: &Settings, seed: u64) -> Self {
-        let part = settings.quota_part();
+        let part = settings.quota_per_node();
         let stated = (part / CONNECTIONS_A_LOOK).ceil() as usize;
         Probing {
             looks_round_until: now + LOOK_ROUND_MS,
@@ -82,7 +82,7 @@
         let Some(dial) = self.pool.dial(member) else { return false };
         self.counters.probes += 1;
         self.probing.out.insert(member, false);
-        self.orders.push_back(Order::Probe { member, dial });
+        self.driver_commands.push_back(DriverCommand::Probe { member, dial });
         true
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// A probe, or its resting connection, was given up for want of descriptors.
-    pub fn probe_gave_way(&mut self, now: Millis, member: BackendId) {
+    pub fn probe_evicted(&mut self, now: Millis, member: BackendId) {
         self.counters.probes_gave_way += 1;
         if self.probing.out.contains_key(&member) {
             self.probed(now, member, Outcome::NotSent, None, None);
@@ -129,9 +129,10 @@
         self.counters.probes_answered += u64::from(outcome == Outcome::Ok);
         let load = report.and_then(|report| report.load_over_capacity);
         self.log(LogLine::Probed(self.pool.name(member), outcome, load, message_ms));
-        self.tape.note(now, || {
+        self.recorder.note(now, || {
             let (load, message_ms) = (load.map(|load| load as f32), message_ms.map(|ms| ms as f32));
-            record::Probed { member: tape::number(member), outcome: outcome.into(), load, message_ms }.into()
+            record::Probed { member: recorder::number(member), outcome: outcome.into(), load, message_ms }
+                .into()
         });
         // The module hears of the probes that it asked for, as in the simulator, and of what the others report: a
         // report not passed on leaves it with an older one.
@@ -147,9 +148,9 @@
     /// Tells the module of a message delay that it is to hear of.
     pub(super) fn tell_delay(&mut self, now: Millis, member: BackendId, told: Option<Millis>) {
         let Some(took_ms) = told else { return };
-        self.log(LogLine::Slow(self.pool.name(member), took_ms));
-        let delay = record::Delay { member: tape::number(member), took_ms: took_ms as f32 };
-        self.tape.note(now, || delay.into());
+        self.log(LogLine::SlowMessages(self.pool.name(member), took_ms));
+        let delay = record::Delay { member: recorder::number(member), took_ms: took_ms as f32 };
+        self.recorder.note(now, || delay.into());
         self.feed(now, Event::MessageDelay { backend: member, took_ms });
     }
 }
--- a/src/broker/tape.rs
+++ b/src/broker/recorder.rs
@@ -5,7 +5,7 @@
 use super::*;
 use crate::view::{MemberView, TenantView};
 use hopmoor_record as record;
-use hopmoor_record::{Event as Said, MemberId, Record};
+use hopmoor_record::{Event as FrontEvent, MemberId, Record};
 
 /// Records that wait for the driver, at most: what comes on top is counted as missed.
 const MOST: usize = 4_096;
@@ -16,7 +16,7 @@
 const CHANGE: f64 = 0.05;
 
 #[derive(Default)]
-pub(super) struct Tape {
+pub(super) struct Recorder {
     on: bool,
     records: Vec<Record>,
     missed: u64,
@@ -28,19 +28,19 @@
 
 /// Records that were taken off the tape.
 #[derive(Debug, Default)]
-pub struct Taken {
+pub struct RecordBatch {
     /// In the order of their times.
     pub records: Vec<Record>,
     /// How many were missed before them for want of room, and since when.
     pub missed: Option<(u64, Millis)>,
 }
 
-impl Tape {
+impl Recorder {
     pub(super) fn is_on(&self) -> bool {
         self.on
     }
 
-    pub(super) fn note(&mut self, now: Millis, event: impl FnOnce() -> Said) {
+    pub(super) fn note(&mut self, now: Millis, event: impl FnOnce() -> FrontEvent) {
         if !self.on {
             return;
         }
@@ -62,27 +62,33 @@
 impl Broker {
     /// Begins to record: what is known of the pool comes first.
     pub fn record(&mut self, now: Millis) {
-        self.tape.on = true;
+        self.recorder.on = true;
         let members = self.pool.members().count() as u32;
-        self.tape.note(now, || record::Started { members }.into());
+        self.recorder.note(now, || record::Started { members }.into());
         for (id, member) in self.pool.members() {
-            self.tape.note(now, || listed(id, member, member.phase).into());
+            self.recorder.note(now, || listed(id, member, member.phase).into());
         }
         self.timers.set(now + LOOK_MS, Due::Look);
     }
 
     /// Takes what has been recorded; the buffer is the next one's.
-    pub fn taken(&mut self, buffer: Vec<Record>) -> Taken {
-        let missed = std::mem::take(&mut self.tape.missed);
-        Taken {
-            records: std::mem::replace(&mut self.tape.records, buffer),
-            missed: (missed > 0).then_some((missed, self.tape.missed_since)),
+    pub fn take_records(&mut self, buffer: Vec<Record>) -> RecordBatch {
+        let missed = std::mem::take(&mut self.recorder.missed);
+        RecordBatch {
+            records: std::mem::replace(&mut self.recorder.records, buffer),
+            missed: (missed > 0).then_some((missed, self.recorder.missed_since)),
         }
     }
 
     /// Another node of the fleet came, went or came again.
-    pub fn neighbour(&mut self, now: Millis, name: &str, state: record::NeighbourState, incarnation: u64) {
-        self.tape.note(now, || record::Neighbour { name: name.to_owned(), state, incarnation }.into());
+    pub fn peer_state_changed(
+        &mut self,
+        now: Millis,
+        name: &str,
+        state: record::NeighbourState,
+        incarnation: u64,
+    ) {
+        self.recorder.note(now, || record::Neighbour { name: name.to_owned(), state, incarnation }.into());
     }
 
     /// So many records were lost so far.
@@ -92,67 +98,67 @@
 
     /// Something was recorded that has not been taken.
     pub fn has_records(&self) -> bool {
-        !self.tape.records.is_empty()
+        !self.recorder.records.is_empty()
     }
 
     /// The node ends: the last record of its run.
-    pub fn stopped(&mut self, now: Millis) {
+    pub fn record_stopped(&mut self, now: Millis) {
         let left_behind = self.transactions.len() as u32;
-        self.tape.note(now, || record::Stopped { left_behind }.into());
+        self.recorder.note(now, || record::Stopped { left_behind }.into());
     }
 
     /// Records the counters; `wall` is the host's clock, in Unix milliseconds.
-    pub fn counted(&mut self, now: Millis, wall: Millis) {
-        if self.tape.on {
+    pub fn record_counters(&mut self, now: Millis, wall: Millis) {
+        if self.recorder.on {
             let values = self.counters().values().to_vec();
-            self.tape.note(now, || record::Counters { wall, values }.into());
+            self.recorder.note(now, || record::Counters { wall, values }.into());
         }
     }
 
     /// Looks at the module's beliefs and records what has changed.
     pub(super) fn look(&mut self, now: Millis) {
-        let tape = &mut self.tape;
-        tape.looks += 1;
+        let recorder = &mut self.recorder;
+        recorder.looks += 1;
         for view in self.balancer.tenant_views() {
-            let last = tape.tenants.get(&view.tenant);
+            let last = recorder.tenants.get(&view.tenant);
             if last.is_some_and(|(at, last)| *last == view && now - at < AGAIN_MS) {
                 continue;
             }
-            tape.tenants.insert(view.tenant, (now, view));
-            tape.note(now, || tenant(view).into());
+            recorder.tenants.insert(view.tenant, (now, view));
+            recorder.note(now, || tenant(view).into());
         }
         // Members every other time: their figures change slowly, and there may be thousands.
-        if tape.looks.is_multiple_of(2) {
+        if recorder.looks.is_multiple_of(2) {
             for view in self.balancer.member_views(now) {
-                let last = tape.members.get(&view.member);
+                let last = recorder.members.get(&view.member);
                 if last.is_some_and(|(at, last)| !differs(last, &view) && now - at < AGAIN_MS) {
                     continue;
                 }
-                tape.members.insert(view.member, (now, view));
+                recorder.members.insert(view.member, (now, view));
                 let message_ms = self.delays.last(view.member);
-                tape.note(now, || member_view(view, message_ms).into());
+                recorder.note(now, || member_view(view, message_ms).into());
             }
             let pool = &self.pool;
-            tape.members.retain(|member, (at, _)| pool.listed(*member) || now - *at < AGAIN_MS);
+            recorder.members.retain(|member, (at, _)| pool.listed(*member) || now - *at < AGAIN_MS);
         }
         self.timers.set(now + LOOK_MS, Due::Look);
     }
 
     pub(super) fn note_member(&mut self, now: Millis, id: BackendId, name: &str, phase: Phase) {
         if let Some(member) = self.pool.member(id) {
-            self.tape.note(now, || listed(id, member, phase).into());
+            self.recorder.note(now, || listed(id, member, phase).into());
         } else {
             let name = name.to_owned();
             let (member, phase) = (number(id), record::Phase::from(phase));
             let event =
                 record::Member { member, name, phase, zone: 0, weight: 0.0, born: None, again: false };
-            self.tape.note(now, || event.into());
+            self.recorder.note(now, || event.into());
         }
     }
 
     /// The final answer of a transaction.
     pub(super) fn note_answer(&mut self, now: Millis, t: &Transaction, answer: record::Answer) {
-        self.tape.note(now, || answered(now, t, answer).into());
+        self.recorder.note(now, || answered(now, t, answer).into());
     }
 
     /// The end of an attempt, or of a connection.
@@ -164,12 +170,12 @@
         stood: bool,
         by_client: bool,
     ) {
-        if !self.tape.on {
+        if !self.recorder.on {
             return;
         }
         let Some(t) = self.transactions.get(&id) else { return };
         let (Some(member), took_ms) = (t.member, (now - t.sent) as f32) else { return };
-        self.tape.note(now, || {
+        self.recorder.note(now, || {
             let (member, outcome) = (number(member), outcome.into());
             record::Flow { transaction: id.0, member, outcome, stood, by_client, took_ms }.into()
         });
@@ -263,12 +269,12 @@
     }
 }
 
-impl From<Coming> for record::Coming {
-    fn from(coming: Coming) -> Self {
+impl From<ArrivalKind> for record::ArrivalKind {
+    fn from(coming: ArrivalKind) -> Self {
         match coming {
-            Coming::First => record::Coming::First,
-            Coming::Retry => record::Coming::Retry,
-            Coming::Return => record::Coming::Return,
+            ArrivalKind::First => record::ArrivalKind::First,
+            ArrivalKind::Retry => record::ArrivalKind::Retry,
+            ArrivalKind::Return => record::ArrivalKind::Return,
         }
     }
 }
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Broker {
-    pub(super) fn asked(&mut self, now: Millis, id: TransactionId, ask: Ask) {
+    pub(super) fn asked(&mut self, now: Millis, id: TransactionId, ask: ClientRequest) {
         if self.transactions.contains_key(&id) {
             return;
         }
@@ -14,10 +14,12 @@
         {
             self.counters.bad_duplicate += 1;
             self.log(LogLine::Duplicate(id, name.clone()));
-            return self.orders.push_back(Order::Front(id, Command::Fail(Failure::Duplicate)));
+            return self
+                .driver_commands
+                .push_back(DriverCommand::Front(id, Command::Fail(Failure::Duplicate)));
         }
         self.counters.asks += 1;
-        self.tape.note(now, || {
+        self.recorder.note(now, || {
             let asked = record::Asked {
                 transaction: id.0,
                 class: ask.class.0,
@@ -83,10 +85,10 @@
         let adopted = t.adoption.is_some();
         self.classes.of(request.class).served += 1;
         t.told |= adopted;
-        if self.tape.is_on()
+        if self.recorder.is_on()
             && let Some(t) = self.transactions.get(&id)
         {
-            self.tape.note(now, || tape::answered(now, t, record::Answer::Served).into());
+            self.recorder.note(now, || recorder::answered(now, t, record::Answer::Served).into());
         }
         if let (true, Some(member)) = (adopted, member) {
             self.taken_up(now, request, member);
@@ -105,12 +107,12 @@
             return self.flow_over(now, id, Outcome::Cancelled, None);
         }
         if told {
-            self.feed(now, Event::Departed { id });
+            self.feed(now, Event::ClientGone { id });
         }
         // The module may have called the flow off already.
         let Some(stage) = self.transactions.get(&id).map(|t| t.stage) else { return };
         if stage != Stage::Held {
-            self.orders.push_back(Order::Front(id, Command::Abandon));
+            self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
         }
         let Some(t) = self.forget(id) else { return };
         self.note_answer(now, &t, record::Answer::Left);
@@ -137,7 +139,7 @@
                 Command::Reject(_) => self.classes.of(class).refused += 1,
                 _ => self.classes.of(class).failed += 1,
             }
-            self.orders.push_back(Order::Front(id, command));
+            self.driver_commands.push_back(DriverCommand::Front(id, command));
         }
     }
 
@@ -153,15 +155,15 @@
             closed: true,
             report: None,
         };
-        self.tape
+        self.recorder
             .note(now, || record::Fault { what: format!("answer of transaction {} overdue", id.0) }.into());
         self.log(LogLine::Overdue(id));
         if out {
-            self.orders.push_back(Order::Front(id, Command::Abandon));
+            self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
         }
         self.answer(now, id, Command::Fail(Failure::Deadline));
         if told {
-            self.feed(now, Event::Departed { id });
+            self.feed(now, Event::ClientGone { id });
             if out {
                 self.feed(now, ended);
             }
--- a/src/broker/tests.rs
+++ b/src/broker/tests.rs
@@ -5,7 +5,7 @@
 pub(super) struct Bench {
     pub(super) broker: Broker,
     pub(super) now: Millis,
-    seen: Vec<(Millis, Order)>,
+    seen: Vec<(Millis, DriverCommand)>,
 }
 
 pub(super) fn member(name: &str, phase: Phase) -> Member {
@@ -20,18 +20,18 @@
     let class = Class { message_aim_ms: 60.0, ..Class::default() };
     let settings = Settings {
         classes: vec![class],
-        tells_delay: true,
+        reports_message_delay: true,
         probing: true,
         cancel: true,
-        most_tries: 6,
+        max_attempts: 6,
         max_retry_after_ms: 1_000.0,
         ..Settings::default()
     };
     Site { settings, ..Site::default() }
 }
 
-pub(super) fn ask() -> Ask {
-    Ask {
+pub(super) fn ask() -> ClientRequest {
+    ClientRequest {
         name: None,
         class: ClassId(0),
         tenant: TenantId(0),
@@ -40,7 +40,7 @@
         grace_ms: 1_000.0,
         load_hint: None,
         adopted: None,
-        coming: Coming::First,
+        coming: ArrivalKind::First,
         negotiates: false,
     }
 }
@@ -62,19 +62,19 @@
     }
 
     fn collect(&mut self) {
-        while let Some(order) = self.broker.order() {
-            self.seen.push((self.now, order));
+        while let Some(driver_command) = self.broker.driver_command() {
+            self.seen.push((self.now, driver_command));
         }
     }
 
-    pub(super) fn hear(&mut self, id: TransactionId, said: Said) {
-        self.broker.hear(self.now, id, said);
+    pub(super) fn on_front_event(&mut self, id: TransactionId, said: FrontEvent) {
+        self.broker.on_front_event(self.now, id, said);
         self.collect();
     }
 
-    pub(super) fn open(&mut self, ask: Ask) -> TransactionId {
+    pub(super) fn open(&mut self, ask: ClientRequest) -> TransactionId {
         let id = self.broker.next_id();
-        self.hear(id, Said::Ask(ask));
+        self.on_front_event(id, FrontEvent::ClientRequest(ask));
         id
     }
 
@@ -93,8 +93,8 @@
     }
 
     pub(super) fn commands(&self, id: TransactionId) -> Vec<Command> {
-        let mine = |(_, order): &(Millis, Order)| match order {
-            Order::Front(to, command) if *to == id => Some(command.clone()),
+        let mine = |(_, driver_command): &(Millis, DriverCommand)| match driver_command {
+            DriverCommand::Front(to, command) if *to == id => Some(command.clone()),
             _ => None,
         };
         self.seen.iter().filter_map(mine).collect()
@@ -118,11 +118,13 @@
 fn a_silent_member_costs_one_answer_in_time() {
     let mut bench = Bench::new(&["a", "b"]);
     let id = bench.open(ask());
-    bench.hear(id, Said::Connected);
+    bench.on_front_event(id, FrontEvent::Connected);
     bench.run(5_000.0);
     assert_eq!(bench.answers(id), 1);
-    let at =
-        bench.seen.iter().find(|(_, o)| matches!(o, Order::Front(_, Command::Reject(_) | Command::Fail(_))));
+    let at = bench
+        .seen
+        .iter()
+        .find(|(_, o)| matches!(o, DriverCommand::Front(_, Command::Reject(_) | Command::Fail(_))));
     assert!(at.unwrap().0 <= 1_000.0);
     assert_eq!(bench.broker.transactions(), 0);
 }
@@ -130,7 +132,7 @@
 #[test]
 fn a_flow_is_given_up_before_the_next_and_at_most_six_are_opened() {
     let mut bench = Bench::new(&["a", "b", "c"]);
-    let id = bench.open(Ask { grace_ms: 60_000.0, ..ask() });
+    let id = bench.open(ClientRequest { grace_ms: 60_000.0, ..ask() });
     bench.run(59_000.0);
     let commands = bench.commands(id);
     let mut out = 0;
@@ -176,10 +178,10 @@
         let mut bench = Bench::new(&["a"]);
         let id = bench.open(ask());
         if connected {
-            bench.hear(id, Said::Connected);
+            bench.on_front_event(id, FrontEvent::Connected);
         }
         if written {
-            bench.hear(id, Said::Sent);
+            bench.on_front_event(id, FrontEvent::Sent);
         }
         let changes = vec![member("a", phase), member("b", Phase::Serving)];
         bench.list(list(false, changes));
@@ -207,8 +209,8 @@
         let mut bench = Bench { broker, now: 0.0, seen: Vec::new() };
         let id = bench.open(ask());
         if written {
-            bench.hear(id, Said::Connected);
-            bench.hear(id, Said::Sent);
+            bench.on_front_event(id, FrontEvent::Connected);
+            bench.on_front_event(id, FrontEvent::Sent);
         }
         bench.run(990.0);
         let commands = bench.commands(id);
@@ -224,10 +226,10 @@
 fn a_negotiation_on_a_member_that_drains_moves_on_or_ends_in_good_order() {
     for committed in [false, true] {
         let mut bench = Bench::new(&["a"]);
-        let id = bench.open(Ask { negotiates: true, ..ask() });
-        bench.hear(id, Said::Connected);
+        let id = bench.open(ClientRequest { negotiates: true, ..ask() });
+        bench.on_front_event(id, FrontEvent::Connected);
         if committed {
-            bench.hear(id, Said::Committed);
+            bench.on_front_event(id, FrontEvent::Committed);
         }
         let drains = vec![member("a", Phase::Draining), member("b", Phase::Serving)];
         bench.list(list(false, drains));
@@ -245,10 +247,10 @@
 #[test]
 fn nobody_takes_over_once_the_client_has_heard_from_a_member() {
     let mut bench = Bench::new(&["a", "b"]);
-    let id = bench.open(Ask { negotiates: true, ..ask() });
-    bench.hear(id, Said::Connected);
-    bench.hear(id, Said::Committed);
-    bench.hear(id, Said::Ended(Outcome::Reset, None));
+    let id = bench.open(ClientRequest { negotiates: true, ..ask() });
+    bench.on_front_event(id, FrontEvent::Connected);
+    bench.on_front_event(id, FrontEvent::Committed);
+    bench.on_front_event(id, FrontEvent::Ended(Outcome::Reset, None));
     let commands = bench.commands(id);
     assert_eq!(opened(&commands).len(), 1);
     assert_eq!(commands.last(), Some(&Command::Fail(Failure::Broken)));
@@ -258,12 +260,12 @@
 #[test]
 fn an_adopted_connection_goes_to_its_member_and_again_if_not_taken() {
     let mut bench = Bench::new(&["a", "b", "c"]);
-    let id = bench.open(Ask { adopted: Some("c".into()), grace_ms: 40_000.0, ..ask() });
-    bench.hear(id, Said::Ended(Outcome::Full, None));
+    let id = bench.open(ClientRequest { adopted: Some("c".into()), grace_ms: 40_000.0, ..ask() });
+    bench.on_front_event(id, FrontEvent::Ended(Outcome::Full, None));
     bench.run(600.0);
     assert_eq!(opened(&bench.commands(id)), ["c", "c"]);
-    bench.hear(id, Said::Connected);
-    bench.hear(id, Said::Up);
+    bench.on_front_event(id, FrontEvent::Connected);
+    bench.on_front_event(id, FrontEvent::Up);
     bench.run(60_000.0);
     let counters = bench.broker.counters();
     assert_eq!((bench.answers(id), counters.adopted, counters.open), (0, 1, 1));
@@ -273,22 +275,22 @@
 fn readiness_waits_for_the_first_word_of_discovery() {
     let mut bench = Bench::new(&["a"]);
     let id = bench.broker.next_id();
-    bench.hear(id, Said::Ping);
+    bench.on_front_event(id, FrontEvent::Ping);
     assert!(bench.commands(id).is_empty());
     bench.list(list(false, vec![]));
     bench.collect();
     assert_eq!(bench.commands(id), [Command::Ready]);
-    assert_eq!(bench.broker.standing_by(), Ok(()));
+    assert_eq!(bench.broker.readiness(), Ok(()));
     bench.list(list(false, vec![member("a", Phase::Gone)]));
-    assert_eq!(bench.broker.standing_by(), Err(Unready::NoMember));
+    assert_eq!(bench.broker.readiness(), Err(Unready::NoMember));
 }
 
 #[test]
 fn a_client_that_leaves_is_owed_nothing_and_its_flow_is_given_up() {
     let mut bench = Bench::new(&["a"]);
     let id = bench.open(ask());
-    bench.hear(id, Said::Connected);
-    bench.hear(id, Said::Left);
+    bench.on_front_event(id, FrontEvent::Connected);
+    bench.on_front_event(id, FrontEvent::Left);
     assert_eq!(bench.commands(id).iter().filter(|c| **c == Command::Abandon).count(), 1);
     bench.run(5_000.0);
     assert_eq!((bench.answers(id), bench.broker.transactions()), (0, 0));
@@ -300,21 +302,27 @@
 fn members_that_hold_connections_are_asked_for_their_message_delay() {
     let mut bench = Bench::beside(&["a"], 2);
     bench.run(3_000.0);
-    let probes = |bench: &Bench| bench.seen.iter().filter(|(_, o)| matches!(o, Order::Probe { .. })).count();
+    let probes =
+        |bench: &Bench| bench.seen.iter().filter(|(_, o)| matches!(o, DriverCommand::Probe { .. })).count();
     assert_eq!(probes(&bench), 0, "no connection there, nothing to ask");
     let id = bench.open(ask());
-    bench.hear(id, Said::Connected);
-    bench.hear(id, Said::Up);
+    bench.on_front_event(id, FrontEvent::Connected);
+    bench.on_front_event(id, FrontEvent::Up);
     bench.run(10_000.0);
     assert_eq!(probes(&bench), 1, "one probe is out at a time");
-    let Some((_, Order::Probe { member, .. })) =
-        bench.seen.iter().find(|(_, o)| matches!(o, Order::Probe { .. })).cloned()
+    let Some((_, DriverCommand::Probe { member, .. })) =
+        bench.seen.iter().find(|(_, o)| matches!(o, DriverCommand::Probe { .. })).cloned()
     else {
         panic!()
     };
     bench.broker.probed(bench.now, member, Outcome::Ok, None, Some(25.0));
     bench.collect();
-    assert!(bench.seen.iter().any(|(_, o)| matches!(o, Order::Log(LogLine::Slow(_, ms)) if *ms == 25.0)));
+    assert!(
+        bench
+            .seen
+            .iter()
+            .any(|(_, o)| matches!(o, DriverCommand::Log(LogLine::SlowMessages(_, ms)) if *ms == 25.0))
+    );
     bench.run(11_500.0);
     assert_eq!(probes(&bench), 2);
 }
@@ -327,22 +335,24 @@
     let broker = Broker::new(0.0, &site, 7, list(true, vec![member("a", Phase::Serving)]));
     let mut bench = Bench { broker, now: 0.0, seen: Vec::new() };
     let id = bench.open(ask());
-    bench.hear(id, Said::Connected);
-    bench.hear(id, Said::Up);
+    bench.on_front_event(id, FrontEvent::Connected);
+    bench.on_front_event(id, FrontEvent::Up);
     bench.run(20_000.0);
-    assert!(!bench.seen.iter().any(|(_, order)| matches!(order, Order::Probe { .. })));
+    assert!(
+        !bench.seen.iter().any(|(_, driver_command)| matches!(driver_command, DriverCommand::Probe { .. }))
+    );
 }
 
 /// The module gives an attempt a part of the client's time while there is another member to try.
 #[test]
 fn a_negotiation_that_the_client_has_heard_of_gets_all_its_time() {
     let mut bench = Bench::new(&["a", "b"]);
-    let id = bench.open(Ask { negotiates: true, ..ask() });
-    bench.hear(id, Said::Connected);
-    bench.hear(id, Said::Committed);
+    let id = bench.open(ClientRequest { negotiates: true, ..ask() });
+    bench.on_front_event(id, FrontEvent::Connected);
+    bench.on_front_event(id, FrontEvent::Committed);
     bench.run(990.0);
     assert_eq!(bench.answers(id), 0);
-    bench.hear(id, Said::Up);
+    bench.on_front_event(id, FrontEvent::Up);
     assert_eq!(bench.broker.counters().served, 1);
 }
 
@@ -351,14 +361,14 @@
 fn a_silent_member_is_given_up_for_another_in_time() {
     let mut bench = Bench::new(&["a", "b"]);
     let id = bench.open(ask());
-    bench.hear(id, Said::Connected);
+    bench.on_front_event(id, FrontEvent::Connected);
     bench.run(450.0);
     let commands = bench.commands(id);
     let members = opened(&commands);
     assert!(members.len() == 2 && members[0] != members[1], "{commands:?}");
     assert_eq!(commands[1], Command::Abandon);
-    bench.hear(id, Said::Connected);
-    bench.hear(id, Said::Up);
+    bench.on_front_event(id, FrontEvent::Connected);
+    bench.on_front_event(id, FrontEvent::Up);
     assert_eq!(bench.broker.counters().served, 1);
 }
 
@@ -367,19 +377,19 @@
 #[test]
 fn a_name_that_is_open_fails_at_once_and_reaches_no_member() {
     let mut bench = Bench::new(&["a", "b"]);
-    let named = |name: &str| Ask { name: Some(name.into()), ..ask() };
+    let named = |name: &str| ClientRequest { name: Some(name.into()), ..ask() };
     let first = bench.open(named("x"));
-    bench.hear(first, Said::Connected);
-    bench.hear(first, Said::Up);
+    bench.on_front_event(first, FrontEvent::Connected);
+    bench.on_front_event(first, FrontEvent::Up);
     let second = bench.open(named("x"));
     assert_eq!(bench.commands(second), [Command::Fail(Failure::Duplicate)]);
     let third = bench.open(named("y"));
     assert_eq!(opened(&bench.commands(third)).len(), 1);
     // Its own end, however it comes, frees the name.
-    bench.hear(first, Said::Left);
+    bench.on_front_event(first, FrontEvent::Left);
     let again = bench.open(named("x"));
     assert_eq!(opened(&bench.commands(again)).len(), 1);
-    bench.hear(again, Said::Left);
+    bench.on_front_event(again, FrontEvent::Left);
     let counters = bench.broker.counters();
     assert_eq!((counters.bad_duplicate, counters.asks), (1, 3));
 }
@@ -389,9 +399,9 @@
     let mut bench = Bench::new(&["a", "b"]);
     let ids: Vec<_> = (0..40)
         .map(|_| {
-            let id = bench.open(Ask { grace_ms: 60_000.0, ..ask() });
-            bench.hear(id, Said::Connected);
-            bench.hear(id, Said::Up);
+            let id = bench.open(ClientRequest { grace_ms: 60_000.0, ..ask() });
+            bench.on_front_event(id, FrontEvent::Connected);
+            bench.on_front_event(id, FrontEvent::Up);
             id
         })
         .collect();
@@ -418,30 +428,31 @@
         let mut bench = Bench { broker, now: 0.0, seen: Vec::new() };
         let standing: Vec<_> = (0..20)
             .map(|_| {
-                let id = bench.open(Ask { grace_ms: longest, ..ask() });
-                bench.hear(id, Said::Connected);
-                bench.hear(id, Said::Up);
+                let id = bench.open(ClientRequest { grace_ms: longest, ..ask() });
+                bench.on_front_event(id, FrontEvent::Connected);
+                bench.on_front_event(id, FrontEvent::Up);
                 id
             })
             .collect();
         // One waits at a silent member, one comes after the word.
-        let silent = bench.open(Ask { grace_ms: longest, ..ask() });
-        bench.hear(silent, Said::Connected);
-        bench.hear(silent, Said::Sent);
+        let silent = bench.open(ClientRequest { grace_ms: longest, ..ask() });
+        bench.on_front_event(silent, FrontEvent::Connected);
+        bench.on_front_event(silent, FrontEvent::Sent);
         let over = bench.broker.leave(bench.now);
         bench.run(300.0);
-        let late = bench.open(Ask { grace_ms: longest, ..ask() });
-        bench.hear(late, Said::Connected);
+        let late = bench.open(ClientRequest { grace_ms: longest, ..ask() });
+        bench.on_front_event(late, FrontEvent::Connected);
         bench.run(over);
         assert!(over < kill);
         let at = |id: TransactionId| {
-            let last = |o: &Order| matches!(o, Order::Front(to, c) if *to == id && !matches!(c, Command::Open { .. } | Command::Abandon));
+            let last = |o: &DriverCommand| matches!(o, DriverCommand::Front(to, c) if *to == id && !matches!(c, Command::Open { .. } | Command::Abandon));
             bench.seen.iter().filter(|(_, o)| last(o)).map(|(at, _)| *at).collect::<Vec<_>>()
         };
         for id in standing.into_iter().chain([silent, late]) {
             assert!(at(id).len() == 1 && at(id)[0] <= kill - 300.0, "{longest} {:?}", at(id));
         }
-        let overdue = bench.seen.iter().filter(|(_, o)| matches!(o, Order::Log(LogLine::Overdue(_)))).count();
+        let overdue =
+            bench.seen.iter().filter(|(_, o)| matches!(o, DriverCommand::Log(LogLine::Overdue(_)))).count();
         assert_eq!((overdue, bench.broker.transactions()), (0, 0), "{longest}");
     }
 }
@@ -452,9 +463,9 @@
     let mut bench = Bench::new(&["a"]);
     let ids: Vec<_> = (0..20)
         .map(|_| {
-            let id = bench.open(Ask { grace_ms: 60_000.0, ..ask() });
-            bench.hear(id, Said::Connected);
-            bench.hear(id, Said::Up);
+            let id = bench.open(ClientRequest { grace_ms: 60_000.0, ..ask() });
+            bench.on_front_event(id, FrontEvent::Connected);
+            bench.on_front_event(id, FrontEvent::Up);
             id
         })
         .collect();
@@ -479,11 +490,11 @@
                 bench.broker.probed(bench.now, member, Outcome::Ok, None, Some(1.0));
             }
         }
-        let probe = |at: Millis, order: &Order| match order {
-            Order::Probe { member, .. } => Some((at, *member)),
+        let probe = |at: Millis, driver_command: &DriverCommand| match driver_command {
+            DriverCommand::Probe { member, .. } => Some((at, *member)),
             _ => None,
         };
-        bench.seen.iter().filter_map(|(at, order)| probe(*at, order)).collect::<Vec<_>>()
+        bench.seen.iter().filter_map(|(at, driver_command)| probe(*at, driver_command)).collect::<Vec<_>>()
     };
     let few = probes(3);
     let first: BTreeSet<_> = few.iter().filter(|(at, _)| *at < 100.0).map(|(_, member)| *member).collect();
@@ -502,9 +513,10 @@
     let mut bench = Bench::beside(&names, 900);
     let standing: Vec<_> = names.iter().step_by(16).collect();
     for name in &standing {
-        let id = bench.open(Ask { adopted: Some((**name).to_owned()), grace_ms: 40_000.0, ..ask() });
-        bench.hear(id, Said::Connected);
-        bench.hear(id, Said::Up);
+        let id =
+            bench.open(ClientRequest { adopted: Some((**name).to_owned()), grace_ms: 40_000.0, ..ask() });
+        bench.on_front_event(id, FrontEvent::Connected);
+        bench.on_front_event(id, FrontEvent::Up);
     }
     bench.run(5_000.0);
     let out = bench.broker.probing.out.len();
@@ -520,8 +532,8 @@
     let mut bench = Bench::new(&["a"]);
     bench.broker.record(0.0);
     let ends = |bench: &mut Bench| {
-        let taken = bench.broker.taken(Vec::new()).records;
-        taken.iter().filter(|record| matches!(record.event, record::Event::Leaving(_))).count()
+        let take_records = bench.broker.take_records(Vec::new()).records;
+        take_records.iter().filter(|record| matches!(record.event, record::Event::Leaving(_))).count()
     };
     assert!(bench.broker.drain(0.0) && bench.broker.resume());
     assert_eq!(ends(&mut bench), 0);
--- a/src/config.rs
+++ b/src/config.rs
@@ -107,9 +107,9 @@
     /// Zone names, in the order of their numbers.
     pub zones: Vec<String>,
     /// Whether `LOAD` lines tell a connection's load.
-    pub tells_load: bool,
+    pub has_load_lines: bool,
     /// Whether the answers of pool members may close with a load report.
-    pub answers_report: bool,
+    pub has_load_reports: bool,
     /// An idle connection is closed after this.
     pub keepalive_ms: Millis,
     /// The longest deadline that any class states; 0 if none does.
@@ -208,8 +208,8 @@
         classes: names("/profiles"),
         tenants: names("/tenants"),
         zones: names("/zones"),
-        tells_load: setup.pointer("/domain/tellsLoad").and_then(Value::as_bool).unwrap_or(false),
-        answers_report: setup.pointer("/report/how").and_then(Value::as_str) == Some("piggyback"),
+        has_load_lines: setup.pointer("/domain/tellsLoad").and_then(Value::as_bool).unwrap_or(false),
+        has_load_reports: setup.pointer("/report/how").and_then(Value::as_str) == Some("piggyback"),
         keepalive_ms: keepalive.filter(|ms| *ms > 0.0).unwrap_or(5_000.0),
         longest_deadline_ms: deadlines.fold(0.0, f64::max),
         stop_sending_ms: stop_sending.filter(|ms| *ms >= 0.0).unwrap_or(STOP_SENDING_MS),
@@ -241,20 +241,20 @@
                 contract: None,
             })
             .collect(),
-        mode: if text("/domain/mode") == "pass" { Mode::Pass } else { Mode::Proxy },
+        mode: if text("/domain/mode") == "pass" { Mode::PassThrough } else { Mode::Proxy },
         listed_weight: match text("/weights") {
             "nominal" | "rough" => ListedWeight::Size,
             "live" => ListedWeight::Live,
             _ => ListedWeight::Silent,
         },
         discovery_on_request: text("/discovery") == "on_request",
-        ask_within_ms: number("/invariants/askWithinMs").unwrap_or(base.ask_within_ms),
+        discovery_poll_ms: number("/invariants/askWithinMs").unwrap_or(base.discovery_poll_ms),
         probing: yes("/caps/probing"),
         probe_price: number("/prices/probe").unwrap_or(base.probe_price),
         cancel: yes("/caps/cancel"),
-        tells_delay: yes("/domain/tellsDelay"),
+        reports_message_delay: yes("/domain/tellsDelay"),
         reports: text("/report/how") != "silent" && fields.iter().any(|field| field == "x0"),
-        most_tries: whole("/caps/mostTries", base.most_tries),
+        max_attempts: whole("/caps/mostTries", base.max_attempts),
         max_retry_after_ms: if yes("/caps/retryAfter") {
             number("/caps/maxRetryAfterMs").unwrap_or(0.0)
         } else {
@@ -262,9 +262,9 @@
         },
         connect_timeout_ms: number("/caps/connectTimeoutMs").unwrap_or(base.connect_timeout_ms),
         start_capacity: number("/invariants/startCapacity").unwrap_or(base.start_capacity),
-        cold_ms: number("/invariants/coldMs").unwrap_or(base.cold_ms),
+        warm_up_ms: number("/invariants/coldMs").unwrap_or(base.warm_up_ms),
         overload_factor: number("/invariants/overloadFactor").unwrap_or(base.overload_factor),
-        fall_ms: number("/invariants/fallMs").unwrap_or(base.fall_ms),
+        overload_span_ms: number("/invariants/fallMs").unwrap_or(base.overload_span_ms),
     }
 }
 
--- a/src/drill.rs
+++ b/src/drill.rs
@@ -248,12 +248,12 @@
 
 /// All relays that this process hosts; they share nothing but the numbered lists of the wire.
 #[derive(Default)]
-pub struct Host {
+pub struct Adapter {
     lists: [Vec<Entry>; LISTS],
     gateways: HashMap<String, Gateway>,
 }
 
-impl Host {
+impl Adapter {
     /// Takes one batch, a line of JSON, and returns the reply to it.
     pub fn batch(&mut self, line: &[u8]) -> Result<String, WireError> {
         let batch: Batch = serde_json::from_slice(line).map_err(wrong)?;
@@ -321,8 +321,8 @@
                 }
                 Item::ClientLeft { relay, xid } => {
                     let gateway = gateway(&mut self.gateways, &relay)?;
-                    let event = gateway.ids.get(&xid).map(|&id| Event::Departed { id: RequestId(id) });
-                    if let Some(Event::Departed { id }) = event {
+                    let event = gateway.ids.get(&xid).map(|&id| Event::ClientGone { id: RequestId(id) });
+                    if let Some(Event::ClientGone { id }) = event {
                         gateway.settle(id.0, 0, true);
                     }
                     (relay, event)
@@ -511,7 +511,7 @@
             Action::Subscribe { on } => Out::Observe { relay, enable: on },
             Action::FetchList => Out::Resolve { relay },
             Action::CloseIdle { backend } => Out::HangUp { relay, backend: self.name(backend)? },
-            Action::Tell { peer, body } => Out::MemoTo {
+            Action::SendToPeer { peer, body } => Out::MemoTo {
                 relay,
                 peer: peer.map_or(Peer::Named("all"), Peer::One),
                 body: BASE64.encode(body),
--- a/src/drill/tests.rs
+++ b/src/drill/tests.rs
@@ -25,10 +25,13 @@
         (Action::FetchList, r#"{"RESOLVE":{"relay":"r"}}"#),
         (Action::CloseIdle { backend }, r#"{"HANG_UP":{"relay":"r","backend":"b:1"}}"#),
         (
-            Action::Tell { peer: None, body: b"hi 7".to_vec() },
+            Action::SendToPeer { peer: None, body: b"hi 7".to_vec() },
             r#"{"MEMO_TO":{"relay":"r","peer":"all","body":"aGkgNw=="}}"#,
         ),
-        (Action::Tell { peer: Some(3), body: Vec::new() }, r#"{"MEMO_TO":{"relay":"r","peer":3,"body":""}}"#),
+        (
+            Action::SendToPeer { peer: Some(3), body: Vec::new() },
+            r#"{"MEMO_TO":{"relay":"r","peer":3,"body":""}}"#,
+        ),
         (Action::Log("up".into()), r#"{"PRINT":{"relay":"r","what":"up"}}"#),
         (Action::Fault("bad".into()), r#"{"CRASH":{"relay":"r","what":"bad"}}"#),
     ] {
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -10,13 +10,13 @@
 use crate::api::Millis;
 
 /// A change counts as told so long after discovery had it and could be reached.
-pub(crate) const TOLD_MS: Millis = 6_000.0;
+pub(crate) const CHANGE_KNOWN_AFTER_MS: Millis = 6_000.0;
 /// And so long after a new configuration named another discovery.
 const MOVED_MS: Millis = 4_000.0;
 /// The process may be held up for so long between reading its clock and writing, and timers and sockets take their time.
 const HELD_UP_MS: Millis = 250.0;
 /// A refusal by discovery that comes sooner than this after the call is no wait in line: it is down.
-pub const PROMPT_MS: Millis = 1_000.0;
+pub const PROMPT_REFUSAL_MS: Millis = 1_000.0;
 
 /// The lease on the list at hand.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -45,17 +45,17 @@
     /// None yet, where nothing new may go to a member for longer than `grace_ms` after a change counts as told.
     pub fn none(grace_ms: Millis) -> Self {
         let grace = (grace_ms - HELD_UP_MS).max(0.0);
-        Lease { until: Millis::NEG_INFINITY, length: TOLD_MS + grace, grace }
+        Lease { until: Millis::NEG_INFINITY, length: CHANGE_KNOWN_AFTER_MS + grace, grace }
     }
 
     /// Discovery has answered: the list is as good as new.
-    pub fn answered(&mut self, now: Millis) {
+    pub fn renew(&mut self, now: Millis) {
         self.until = self.until.max(now + self.length);
     }
 
     /// An answer that began at this time can't be read, or has stood still since: what it has to tell counts as told as it was written,
     /// whether or not it arrived.
-    pub fn spoilt(&mut self, began: Millis) {
+    pub fn answer_invalid(&mut self, began: Millis) {
         self.until = self.until.min(began + self.grace);
     }
 
@@ -67,12 +67,12 @@
     }
 
     /// Discovery is another one from now on: what it has counts as told sooner.
-    pub fn moved(&mut self, now: Millis) {
-        self.until = self.until.min(now + self.length - TOLD_MS + MOVED_MS);
+    pub fn discovery_changed(&mut self, now: Millis) {
+        self.until = self.until.min(now + self.length - CHANGE_KNOWN_AFTER_MS + MOVED_MS);
     }
 
     /// Whether something new may be sent by the list at hand.
-    pub fn holds(&self, now: Millis) -> bool {
+    pub fn is_valid(&self, now: Millis) -> bool {
         now < self.until
     }
 }
--- a/src/front.rs
+++ b/src/front.rs
@@ -2,14 +2,14 @@
 //! commands, and yields bytes and steps; it knows no socket.
 
 use crate::api::Millis;
-use crate::broker::{Command, Said};
+use crate::broker::{Command, FrontEvent};
 
 /// Most bytes held for one side; while a buffer is fuller than this, nothing more is read for it.
-pub const BUFFER: usize = 16 * 1024;
+pub const MAX_BUFFERED_BYTES: usize = 16 * 1024;
 
 /// A client whose first line, or stream header, is not whole by then gets its answer: owed is one within 3 s of
 /// connecting, however slowly it drips in, and a client may take 2 s to write it.
-pub const FIRST_MS: Millis = 2_500.0;
+pub const FIRST_LINE_TIMEOUT_MS: Millis = 2_500.0;
 
 /// What happened to the connection.
 #[derive(Debug)]
@@ -17,42 +17,42 @@
     /// The client sent bytes.
     Client(&'a [u8]),
     /// The client will send no more.
-    ClientEnd,
+    ClientEof,
     /// The client's connection broke.
     ClientReset,
     /// The flow has a connection.
-    ServerOpen,
+    MemberConnected,
     /// The flow could not be connected.
-    ServerRefused,
+    MemberConnectFailed,
     /// The pool member sent bytes.
-    Server(&'a [u8]),
+    Member(&'a [u8]),
     /// All bytes for the pool member were written.
-    ServerWritten,
+    MemberWritten,
     /// The pool member will send no more.
-    ServerEnd,
+    MemberEof,
     /// The flow's connection broke.
-    ServerReset,
+    MemberReset,
     /// The broker wants something done.
     Command(Command),
     /// The deadline that the front named has come.
     Tick,
 }
 
-/// What is to be done; bytes wait in [`Front::to_client`] and [`Front::to_server`].
+/// What is to be done; bytes wait in [`Front::to_client`] and [`Front::to_member`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Tell the broker.
-    Say(Said),
+    Notify(FrontEvent),
     /// Open a server-side flow.
     Dial(String),
     /// Close the flow now, whatever still waits to be written.
-    DropServer,
+    CloseMember,
     /// Break the flow now.
-    ResetServer,
+    ResetMember,
     /// End the sending on the flow once all is written.
-    EndServer,
+    ShutdownMember,
     /// End the sending to the client once all is written.
-    EndClient,
+    ShutdownClient,
     /// Break the client's connection now; nothing follows.
     ResetClient,
     /// Write what waits for the client and close its connection; nothing follows.
@@ -77,9 +77,9 @@
     /// Bytes for the client.
     fn to_client(&mut self) -> &mut Vec<u8>;
     /// Bytes for the pool member.
-    fn to_server(&mut self) -> &mut Vec<u8>;
+    fn to_member(&mut self) -> &mut Vec<u8>;
     /// Whether the client may be read from now.
     fn reads_client(&self) -> bool;
     /// Whether the pool member may be read from now.
-    fn reads_server(&self) -> bool;
+    fn reads_member(&self) -> bool;
 }
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -5,7 +5,7 @@
 //! are separated by spaces.
 
 use crate::api::{Millis, Phase};
-use crate::pool::{ListError, Member, PoolList, check_dial, zone_number};
+use crate::pool::{ListError, Member, PoolList, check_dial, zone_index};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -216,7 +216,7 @@
                 inventory.zones.push(member.zone.clone());
             }
             inventory.pool.members.push(Member {
-                zone: zone_number(&member.zone, &inventory.zones),
+                zone: zone_index(&member.zone, &inventory.zones),
                 name: member.name,
                 dial: member.dial,
                 cell: 0,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -38,7 +38,6 @@
 //! ```
 
 pub mod admin;
-pub mod agreed;
 mod api;
 pub mod broker;
 pub mod config;
@@ -48,6 +47,7 @@
 pub mod front;
 pub mod inventory;
 mod logic;
+pub mod membership;
 pub mod net;
 pub mod operator;
 pub mod platform;
--- a/src/logic/budget.rs
+++ b/src/logic/budget.rs
@@ -107,12 +107,12 @@
             }
         }
         let new = !self.settled && self.started.is_some_and(|at| now - at < NEWCOMER_MS);
-        let least = if new { self.settings.quota_part() } else { 0.0 };
+        let least = if new { self.settings.quota_per_node() } else { 0.0 };
         let open = self.tenants.values().map(|share| share.load).sum::<f64>().max(least);
         let told = self.mean_report(now, REPORT_FADE_MS);
         self.mean_load = told.map(|(mean, _)| mean);
         if let Some((mean, fresh)) = told {
-            let own = open.max(self.settings.quota_part() / 4.0);
+            let own = open.max(self.settings.quota_per_node() / 4.0);
             let claim = own / weight * TARGET / mean.max(0.05);
             // Clients that broke off and come again are no loss of capacity.
             let down = if mean < ROOMY { 0.0 } else { CLAIM_DOWN };
--- a/src/logic/discovery.rs
+++ b/src/logic/discovery.rs
@@ -24,7 +24,7 @@
         self.weigh(now);
         let weight = self.usable_weight(now);
         if self.per_weight == 0.0 && weight > 0.0 {
-            let quota = self.settings.quota_part();
+            let quota = self.settings.quota_per_node();
             self.per_weight = if quota > 0.0 { 2.0 * quota } else { 1e6 } / weight;
         }
         self.budget(now);
@@ -51,7 +51,7 @@
     pub(super) fn ask(&mut self, now: Millis, out: &mut Out) {
         if !self.subscribed && now >= self.next_ask {
             out.push(Action::Subscribe { on: true });
-            self.next_ask = now + self.settings.ask_within_ms / 2.0;
+            self.next_ask = now + self.settings.discovery_poll_ms / 2.0;
             out.push(Action::SetTimer { at: self.next_ask, id: TimerId(TIMER_DISCOVERY) });
         }
     }
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -52,12 +52,12 @@
                 self.reported(now, backend, report);
                 self.judge(now, backend, outcome, false)
             }
-            Event::Departed { id } => self.departed(id, out),
+            Event::ClientGone { id } => self.departed(id, out),
             Event::LoadChanged { id, load } => self.load_changed(id, load),
             Event::MessageDelay { backend, took_ms } => self.message_delay(now, backend, took_ms),
             Event::PeerMessage { .. } => {}
-            Event::Sharing(nodes) => self.settings.balancers = nodes,
-            Event::Ending { by } => self.hasten(by, out),
+            Event::NodeCount(nodes) => self.settings.balancers = nodes,
+            Event::ShuttingDown { by } => self.hasten(by, out),
             Event::Timer(TimerId(TIMER_INTERVAL)) => self.interval(now, out),
             Event::Timer(TimerId(TIMER_PROBE)) => self.probe(now, out),
             Event::Timer(TimerId(TIMER_DISCOVERY)) => self.ask(now, out),
--- a/src/logic/placement.rs
+++ b/src/logic/placement.rs
@@ -52,7 +52,7 @@
     /// A backend in slow start gets the request only by the one chance that it has there; without it a warm one is chosen.
     pub(super) fn pick(&mut self, now: Millis, id: RequestId) -> Option<BackendId> {
         let entry = self.entries.get(&id)?;
-        let by_key = if self.settings.mode == Mode::Pass { entry.request.key } else { None };
+        let by_key = if self.settings.mode == Mode::PassThrough { entry.request.key } else { None };
         let affinity = entry.request.group.or(by_key);
         let kin = self.kin(entry.request.group);
         // A group has no one place where none is warm: all of it would wait for one backend in slow start.
@@ -61,7 +61,7 @@
         if entry.state == State::Held {
             self.slow_start.came(key);
         }
-        self.slow_start.begin_choice(now, self.settings.fall_ms);
+        self.slow_start.begin_choice(now, self.settings.overload_span_ms);
         let mut chance_left = true;
         for careful in [true, false] {
             self.mark_ready(now, id, careful);
@@ -149,7 +149,7 @@
         let Some(entry) = self.entries.get(&id) else { return };
         let class = self.settings.class(entry.request.class);
         let left = entry.deadline - now - 2.0 * self.settings.tick_ms;
-        let spent = entry.tries >= self.settings.most_tries.max(1) || left <= 0.0;
+        let spent = entry.tries >= self.settings.max_attempts.max(1) || left <= 0.0;
         if spent || !may_send(entry, class.effect, now, None) {
             return self.finish(now, id, out);
         }
--- a/src/logic/relief.rs
+++ b/src/logic/relief.rs
@@ -18,7 +18,7 @@
         let mut most: BTreeMap<BackendId, u32> = BTreeMap::new();
         for (&backend, server) in &mut self.servers {
             // A late report would have the same excess moved again and again; a note is of this moment.
-            let told = if self.settings.tells_delay { server.noted(now) } else { server.told(now) };
+            let told = if self.settings.reports_message_delay { server.noted(now) } else { server.told(now) };
             let Some((x0, fresh)) = told else { continue };
             if x0 > 1.0 && fresh > 0.6 && now - server.moved_at > NOTE_LASTS_MS && server.open > 0 {
                 let part = (x0 - RELIEVED) / x0 * part * f64::from(server.open);
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -81,8 +81,9 @@
             / weight
             * zones;
         let learned = self.intake * self.listed_weight;
-        let rate =
-            settings.rate_part().unwrap_or_else(|| learned.max(LEAST_SENDS / settings.fall_ms.max(1.0)));
+        let rate = settings
+            .rate_part()
+            .unwrap_or_else(|| learned.max(LEAST_SENDS / settings.overload_span_ms.max(1.0)));
         // Nothing is earned for it from before it started.
         let earned = self.slow_start.earned.min(server.age.at(now).max(0.0));
         PART * allowance / self.preferred(to) * rate * earned
@@ -129,5 +130,5 @@
 /// Part of its capacity that a backend has at the slowest warm-up allowed.
 pub(super) fn warmth_at(age: Millis, settings: &Settings) -> f64 {
     let least = settings.start_capacity.clamp(0.01, 1.0);
-    (least + (1.0 - least) * age.max(0.0) / settings.cold_ms.max(1.0)).min(1.0)
+    (least + (1.0 - least) * age.max(0.0) / settings.warm_up_ms.max(1.0)).min(1.0)
 }
--- /dev/null
+++ b/src/membership.rs
@@ -0,0 +1,26 @@
+//! How the view of the fleet is told to those who agree on drains.
+
+use hopmoor_agree::{SeenNode, Standing};
+use hopmoor_fleet::{NodeView, Readiness, State, View};
+
+/// The nodes as the log has them.
+pub fn seen_nodes(view: &View) -> Vec<SeenNode> {
+    let seen_nodes = view.members.iter().map(|seen_nodes| SeenNode {
+        name: seen_nodes.id.name.to_string(),
+        zone: seen_nodes.info.as_ref().map(|info| info.zone.clone()).unwrap_or_default(),
+        incarnation: seen_nodes.id.incarnation,
+        standing: standing(seen_nodes),
+    });
+    seen_nodes.collect()
+}
+
+fn standing(seen_nodes: &NodeView) -> Standing {
+    match (seen_nodes.state, seen_nodes.info.as_ref().map(|info| info.ready)) {
+        (State::Dead, _) => Standing::Dead,
+        (State::Left, _) | (_, Some(Readiness::Left)) => Standing::Left,
+        (_, Some(Readiness::Serving)) => Standing::Serving,
+        (_, Some(Readiness::Draining)) => Standing::Draining,
+        (_, Some(Readiness::Ending)) => Standing::Ending,
+        _ => Standing::NotReady,
+    }
+}
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -107,13 +107,13 @@
 /// Executes an operation and returns its response.
 fn execute(node: &Rc<Node>, operation: Operation, classes: &[String]) -> Vec<u8> {
     match operation {
-        Operation::Ready => match node.broker.borrow().standing_by() {
+        Operation::Ready => match node.broker.borrow().readiness() {
             Ok(()) => admin::response(200, "", "ready\n"),
             Err(why) => admin::response(503, "", &format!("not ready: {why}\n")),
         },
         Operation::Metrics => {
-            let figures = node.broker.borrow().figures(node.clock.now());
-            let mut text = admin::format_metrics(classes, &figures);
+            let stats = node.broker.borrow().stats(node.clock.now());
+            let mut text = admin::format_metrics(classes, &stats);
             if let Some(link) = &*node.fleet.borrow() {
                 text += &link.metrics();
             }
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -4,9 +4,9 @@
 use super::Node;
 use super::fleet::Link;
 use crate::admin;
-use crate::agreed;
 use crate::broker::Unready;
 use crate::config;
+use crate::membership;
 use hopmoor_agree::voter::TICK_MS;
 use hopmoor_agree::{Entry, Most, Note, Order, Part, Scope};
 use hopmoor_vote::Folder;
@@ -52,7 +52,7 @@
 
     /// Handles an operator's drain command: requests a permit; the node drains once it is granted.
     pub(super) fn drain(&self, node: &Rc<Node>) -> Vec<u8> {
-        let standing = node.broker.borrow().standing_by();
+        let standing = node.broker.borrow().readiness();
         if standing == Err(Unready::Ending) {
             return admin::response(409, "", "the node ends\n");
         }
@@ -116,7 +116,7 @@
         };
         let now = node.clock.now() as u64;
         part.borrow_mut().due(now, link.id().incarnation);
-        while let Some((from, bytes)) = link.beside() {
+        while let Some((from, bytes)) = link.next_user_message() {
             part.borrow_mut().message(&from, &bytes);
         }
         if is_tick {
@@ -124,8 +124,8 @@
         }
         if now >= next_view_ms && part.borrow().wants_view() {
             next_view_ms = now + VIEW_INTERVAL_MS;
-            let seen = agreed::seen(&link.view(&node));
-            part.borrow_mut().sees(&seen);
+            let seen_nodes = membership::seen_nodes(&link.view(&node));
+            part.borrow_mut().sees(&seen_nodes);
         }
         execute_orders(&node, &link, &agree, folder.as_ref()).await;
         log_notes(&node, &agree);
@@ -162,7 +162,7 @@
     loop {
         let Some(order) = part.borrow_mut().order() else { break };
         match (order, folder) {
-            (Order::Send(to, bytes), _) => link.send_beside(&to, &bytes),
+            (Order::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
             (Order::Drain(permit), _) => {
                 let done = node.with(|broker, now| broker.drain(now));
                 // Announced at once: the permit is revoked if a later incarnation of this node is seen as serving.
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -7,7 +7,8 @@
 use crate::config;
 use crate::operator;
 use hopmoor_fleet::{
-    Event, Exchange, FRAME, Fleet, Id, Name, Order, Ready, Refused, Said, Setup, State, View, word,
+    Action, Event, Exchange, Fleet, Id, MAX_FRAME_BYTES, Name, NodeInfo, Readiness, Refused, Setup, State,
+    View, node_info,
 };
 use hopmoor_record::NeighbourState;
 use slog::{info, warn};
@@ -44,7 +45,7 @@
 /// Maximum number of attempts to find a port that is free for both UDP and TCP, where the system picks the port.
 const MAX_BIND_ATTEMPTS: usize = 16;
 /// Receive buffer: the largest datagram, and one byte more to detect longer ones.
-const RECEIVE_BUFFER_BYTES: usize = hopmoor_fleet::DATAGRAM + 1;
+const RECEIVE_BUFFER_BYTES: usize = hopmoor_fleet::MAX_DATAGRAM_BYTES + 1;
 
 /// The UDP and the TCP socket of the fleet port.
 pub(super) struct Ports {
@@ -58,7 +59,7 @@
     /// Owned by the driver task: when that ends the port is free, even while exchanges are under way.
     udp: Weak<UdpSocket>,
     /// The status that the node last announced.
-    said: RefCell<Said>,
+    own_info: RefCell<NodeInfo>,
     /// The file of fleet keys.
     keys: PathBuf,
     /// The configuration files, for their digest.
@@ -91,18 +92,18 @@
     }
 
     /// Queues a message that is not part of gossip, such as Raft's; it is sent with the next [`execute_orders`].
-    pub(super) fn send_beside(&self, to: &str, bytes: &[u8]) {
-        self.fleet.borrow_mut().send_beside(to, bytes);
+    pub(super) fn send_user_message(&self, to: &str, bytes: &[u8]) {
+        self.fleet.borrow_mut().send_user_message(to, bytes);
     }
 
     /// The next received message that is not part of gossip, with its sender's name.
-    pub(super) fn beside(&self) -> Option<(Name, Vec<u8>)> {
-        self.fleet.borrow_mut().beside()
+    pub(super) fn next_user_message(&self) -> Option<(Name, Vec<u8>)> {
+        self.fleet.borrow_mut().next_user_message()
     }
 
     pub(super) fn metrics(&self) -> String {
         let fleet = self.fleet.borrow();
-        admin::format_fleet_metrics(fleet.counts(), &fleet.figures())
+        admin::format_fleet_metrics(fleet.counts(), &fleet.stats())
     }
 }
 
@@ -135,27 +136,33 @@
     config: &config::Fleet,
     clients: &TcpListener,
     admin: Option<&TcpListener>,
-) -> io::Result<Said> {
+) -> io::Result<NodeInfo> {
     // The digest is left empty if the program's file can't be read any more.
     let program = std::env::current_exe().and_then(std::fs::read);
-    Ok(Said {
+    Ok(NodeInfo {
         zone: config.zone.clone(),
         clients: clients.local_addr()?.to_string(),
         admin: admin.map(TcpListener::local_addr).transpose()?.map_or_else(String::new, |at| at.to_string()),
-        program: program.map_or_else(|_| Vec::new(), |program| word::digest([program.as_slice()])),
+        program: program.map_or_else(|_| Vec::new(), |program| node_info::digest([program.as_slice()])),
         config: digest(&config.files).unwrap_or_default(),
-        ..Said::default()
+        ..NodeInfo::default()
     })
 }
 
 /// The digest of the configuration files' contents.
 fn digest(files: &[PathBuf]) -> io::Result<Vec<u8>> {
     let contents: Vec<Vec<u8>> = files.iter().map(std::fs::read).collect::<io::Result<_>>()?;
-    Ok(word::digest(contents.iter().map(Vec::as_slice)))
+    Ok(node_info::digest(contents.iter().map(Vec::as_slice)))
 }
 
 /// Starts the link, once the port can be bound if `ports` is `None`.
-pub(super) fn spawn(node: &Rc<Node>, config: &config::Fleet, name: &str, ports: Option<Ports>, said: Said) {
+pub(super) fn spawn(
+    node: &Rc<Node>,
+    config: &config::Fleet,
+    name: &str,
+    ports: Option<Ports>,
+    own_info: NodeInfo,
+) {
     let (node, config, name) = (node.clone(), config.clone(), name.to_owned());
     tokio::task::spawn_local(async move {
         let ports = match ports {
@@ -172,7 +179,7 @@
                 }
             }
         };
-        if let Err(error) = run(&node, &config, &name, ports, said).await {
+        if let Err(error) = run(&node, &config, &name, ports, own_info).await {
             warn!(node.log, "fleet link stopped"; "error" => %error);
             node.fleet.borrow_mut().take();
         }
@@ -185,7 +192,7 @@
     config: &config::Fleet,
     name: &str,
     ports: Ports,
-    said: Said,
+    own_info: NodeInfo,
 ) -> io::Result<()> {
     let Ports { udp, tcp } = ports;
     let udp = Rc::new(udp);
@@ -201,9 +208,9 @@
     let agree = config.agree.as_ref().map(|config| agree::Agreement::new(config, name, &node.log));
     let agree = agree.transpose()?.map(Rc::new);
     let link = Rc::new(Link {
-        fleet: RefCell::new(Fleet::new(now, setup, said.clone())),
+        fleet: RefCell::new(Fleet::new(now, setup, own_info.clone())),
         udp: Rc::downgrade(&udp),
-        said: RefCell::new(said),
+        own_info: RefCell::new(own_info),
         keys: config.keys.clone(),
         files: config.files.clone(),
         from: address.ip(),
@@ -252,9 +259,9 @@
             link.fleet.borrow_mut().tick(now);
         }
         match &link.agree {
-            Some(agree) if link.fleet.borrow().has_beside() => agree.wake(),
+            Some(agree) if link.fleet.borrow().has_user_message() => agree.wake(),
             Some(_) => {}
-            None => while link.beside().is_some() {},
+            None => while link.next_user_message().is_some() {},
         }
         // Gives client tasks a turn, however many datagrams are queued.
         tokio::task::yield_now().await;
@@ -295,15 +302,15 @@
 /// Executes the queued orders of the fleet view and handles its events.
 pub(super) fn execute_orders(node: &Rc<Node>, link: &Rc<Link>) {
     loop {
-        let order = link.fleet.borrow_mut().order();
-        match order {
+        let action = link.fleet.borrow_mut().action();
+        match action {
             // A datagram that the socket does not take at once is lost, as any datagram may be.
-            Some(Order::Send(to, bytes)) => {
+            Some(Action::Send(to, bytes)) => {
                 if let Some(udp) = link.udp.upgrade() {
                     let _ = udp.try_send_to(&bytes, to);
                 }
             }
-            Some(Order::Call(to)) => start_exchange(node, link, to),
+            Some(Action::Call(to)) => start_exchange(node, link, to),
             None => break,
         }
     }
@@ -319,7 +326,7 @@
 /// Logs an event of the fleet view and passes it to the broker.
 fn handle_event(node: &Rc<Node>, event: Event) {
     let note = |id: &Id, state| {
-        node.broker.borrow_mut().neighbour(node.clock.now(), &id.name, state, id.incarnation);
+        node.broker.borrow_mut().peer_state_changed(node.clock.now(), &id.name, state, id.incarnation);
     };
     match event {
         Event::Up(id) => {
@@ -332,44 +339,44 @@
             info!(node.log, "fleet node down"; "name" => &*id.name, "as" => id.incarnation,
                 "state" => state.text());
         }
-        Event::Again(id) => {
+        Event::NewIncarnation(id) => {
             note(&id, NeighbourState::Alive);
             info!(node.log, "fleet node has a new incarnation"; "name" => &*id.name, "as" => id.incarnation,
                 "at" => %id.address);
         }
-        Event::Returned(id) => {
+        Event::Rejoined(id) => {
             warn!(node.log, "rejoined the fleet after other nodes declared this node dead"; "as" => id.incarnation);
         }
-        Event::SteppedBack(id) => {
+        Event::NameTaken(id) => {
             warn!(node.log, "not ready: a newer process uses this node's name"; "as" => id.incarnation,
                 "at" => %id.address);
             node.broker.borrow_mut().set_superseded(true);
         }
-        Event::Resumed(id) => {
+        Event::NameRegained(id) => {
             info!(node.log, "newer process with this node's name is gone"; "as" => id.incarnation);
             node.broker.borrow_mut().set_superseded(false);
         }
         Event::Stalled(ms) => warn!(node.log, "process was paused"; "ms" => ms),
         Event::Full => {
-            warn!(node.log, "fleet view full, ignoring further nodes"; "most" => hopmoor_fleet::MOST)
+            warn!(node.log, "fleet view full, ignoring further nodes"; "most" => hopmoor_fleet::MAX_KNOWN_NODES)
         }
     }
 }
 
 /// Announces this node's status if it has changed, and passes the number of nodes sharing the pool to the broker.
 pub(super) fn announce(node: &Rc<Node>, link: &Link) {
-    let ready = match node.broker.borrow().standing_by() {
-        Ok(()) => Ready::Serving,
-        Err(Unready::Draining) => Ready::Draining,
-        Err(Unready::Ending) => Ready::Ending,
-        Err(Unready::NoList | Unready::NoMember | Unready::Superseded) => Ready::NotReady,
+    let ready = match node.broker.borrow().readiness() {
+        Ok(()) => Readiness::Serving,
+        Err(Unready::Draining) => Readiness::Draining,
+        Err(Unready::Ending) => Readiness::Ending,
+        Err(Unready::NoList | Unready::NoMember | Unready::Superseded) => Readiness::NotReady,
     };
     let (room, capacity) = node.descriptors.borrow().room();
-    let mut said = link.said.borrow_mut();
-    said.ready = ready;
-    said.up_ms = (node.clock.now() - node.clock.base) as u64;
-    said.room = word::room(said.room, room as u32, capacity as u32);
-    link.fleet.borrow_mut().say(said.clone());
+    let mut own_info = link.own_info.borrow_mut();
+    own_info.ready = ready;
+    own_info.up_ms = (node.clock.now() - node.clock.base) as u64;
+    own_info.room = node_info::room(own_info.room, room as u32, capacity as u32);
+    link.fleet.borrow_mut().set_info(own_info.clone());
     let sharing = link.fleet.borrow().sharing(node.clock.now() as u64);
     if let Some(nodes) = sharing.filter(|_| sharing != link.sharing.replace(sharing)) {
         info!(node.log, "number of nodes sharing the pool changed"; "nodes" => nodes);
@@ -388,7 +395,7 @@
         Err(error) => warn!(node.log, "fleet keys not reloaded"; "error" => %error),
     }
     match digest(&link.files) {
-        Ok(digest) => link.said.borrow_mut().config = digest,
+        Ok(digest) => link.own_info.borrow_mut().config = digest,
         Err(error) => warn!(node.log, "configuration digest not updated"; "error" => %error),
     }
     announce(node, &link);
@@ -478,7 +485,7 @@
     let from = stream.peer_addr()?;
     while !on.is_done() {
         let length = stream.read_u32_le().await? as usize;
-        if length > FRAME + hopmoor_seal::OVERHEAD {
+        if length > MAX_FRAME_BYTES + hopmoor_seal::OVERHEAD {
             log_refused(node, link, from, Refused::Malformed);
             break;
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -14,10 +14,10 @@
 pub use log::{LogFormat, logger};
 
 use crate::api::{BackendId, ClassId, Millis, Outcome};
-use crate::broker::{Broker, Command, LogLine, Order, Said, TransactionId};
+use crate::broker::{Broker, Command, DriverCommand, FrontEvent, LogLine, TransactionId};
 use crate::config::Config;
 use crate::front::{Front, Input};
-use crate::xmpp::Realm;
+use crate::xmpp::XmppSettings;
 use crate::{platform, xmpp};
 use descriptors::{DescriptorBudget, FULL_MS, GaveWay};
 use recorder::Recorder;
@@ -116,39 +116,40 @@
     /// Lets the broker do something, and carries out what it orders.
     fn with<T>(self: &Rc<Self>, act: impl FnOnce(&mut Broker, Millis) -> T) -> T {
         let now = self.clock.now();
-        let (done, orders, earlier) = {
+        let (done, driver_commands, earlier) = {
             let mut broker = self.broker.borrow_mut();
             let before = broker.next_due();
             let done = act(&mut broker, now);
-            let orders: Vec<Order> = std::iter::from_fn(|| broker.order()).collect();
-            (done, orders, broker.next_due() != before)
+            let driver_commands: Vec<DriverCommand> =
+                std::iter::from_fn(|| broker.driver_command()).collect();
+            (done, driver_commands, broker.next_due() != before)
         };
         if earlier {
             self.timers.notify_one();
         }
-        for order in orders {
-            self.carry_out(order);
+        for driver_command in driver_commands {
+            self.carry_out(driver_command);
         }
         done
     }
 
-    fn hear(self: &Rc<Self>, id: TransactionId, said: Said) {
-        self.with(|broker, now| broker.hear(now, id, said));
+    fn on_front_event(self: &Rc<Self>, id: TransactionId, said: FrontEvent) {
+        self.with(|broker, now| broker.on_front_event(now, id, said));
     }
 
-    fn carry_out(self: &Rc<Self>, order: Order) {
-        match order {
-            Order::Front(id, command) => {
+    fn carry_out(self: &Rc<Self>, driver_command: DriverCommand) {
+        match driver_command {
+            DriverCommand::Front(id, command) => {
                 self.descriptors.borrow().send(id, command);
             }
-            Order::Probe { member, dial } => probe::probe(self, member, &dial),
-            Order::Watch(on) => {
+            DriverCommand::Probe { member, dial } => probe::probe(self, member, &dial),
+            DriverCommand::Watch(on) => {
                 self.watching.set(on);
                 self.watch.notify_one();
             }
-            Order::Fetch => self.watch.notify_one(),
-            Order::Opened => self.opened.notify_one(),
-            Order::Log(line) => self.write(line),
+            DriverCommand::Fetch => self.watch.notify_one(),
+            DriverCommand::Opened => self.opened.notify_one(),
+            DriverCommand::Log(line) => self.write(line),
         }
     }
 
@@ -160,14 +161,14 @@
             LogLine::Members { changed, listed } => {
                 info!(self.log, "pool members"; "changed" => changed, "listed" => listed)
             }
-            LogLine::AwaitsList(id) => {
+            LogLine::AdoptionAwaitsList(id) => {
                 info!(self.log, "connection waits for the list that names its member"; "transaction" => id.0)
             }
-            LogLine::PlacedAnew(id) => {
+            LogLine::AdoptedMemberGone(id) => {
                 warn!(self.log, "member of a connection is gone"; "transaction" => id.0)
             }
             LogLine::Parked(id) => debug!(self.log, "attempt waits for discovery"; "transaction" => id.0),
-            LogLine::Withheld(id, member) => {
+            LogLine::AttemptDenied(id, member) => {
                 warn!(self.log, "send withheld"; "transaction" => id.0, "member" => member)
             }
             LogLine::Duplicate(id, name) => {
@@ -178,7 +179,7 @@
             LogLine::Member(member, phase) => {
                 info!(self.log, "pool member"; "member" => member, "phase" => ?phase)
             }
-            LogLine::Slow(member, ms) => {
+            LogLine::SlowMessages(member, ms) => {
                 info!(self.log, "messages slow"; "member" => member, "took_ms" => ms.round())
             }
             LogLine::List { seq, whole } => {
@@ -210,10 +211,10 @@
         let GaveWay { clients, probes } = gave_way;
         for member in probes {
             self.probes.borrow_mut().remove(&member);
-            self.with(|broker, now| broker.probe_gave_way(now, member));
+            self.with(|broker, now| broker.probe_evicted(now, member));
         }
         if clients > 0 {
-            self.broker.borrow_mut().crowded_out(clients);
+            self.broker.borrow_mut().clients_evicted(clients);
             if self.may_log() {
                 let held = self.descriptors.borrow().usage();
                 info!(self.log, "silent clients gave way"; "clients" => clients, "held" => %held);
@@ -251,7 +252,7 @@
     /// The platform's protocol, with the configuration that SIGHUP reads anew.
     Platform(PathBuf),
     /// XMPP, with an inventory that SIGHUP reads anew.
-    Xmpp(Realm, PathBuf),
+    Xmpp(XmppSettings, PathBuf),
 }
 
 /// Serves until SIGTERM or SIGINT.
@@ -309,7 +310,7 @@
 ) -> io::Result<()> {
     let mut broker = Broker::new(clock.now(), &config.site, config.seed, config.known.clone());
     if config.discovery.is_some() {
-        broker.lists_are_leased(config.site.stop_sending_ms);
+        broker.enable_list_lease(config.site.stop_sending_ms);
     }
     let recorder = match &config.records {
         Some(records) => {
@@ -368,7 +369,7 @@
     let mut source;
     let front: Box<dyn Fn(Millis) -> Box<dyn Front>> = match speaks {
         Speaks::Platform(file) => {
-            let names = Rc::new(platform::Names::new(&config.site));
+            let names = Rc::new(platform::PlatformSettings::new(&config.site));
             source = Source::Config(file, Box::new(config));
             Box::new(move |now| Box::new(platform::Session::new(now, names.clone())))
         }
--- a/src/net/probe.rs
+++ b/src/net/probe.rs
@@ -64,7 +64,7 @@
     }
     let Some(stream) = stream else { return (Outcome::Unreachable, None) };
     let mut probe = Probe::default();
-    if stream.write_all(Probe::ASK).await.is_err() {
+    if stream.write_all(Probe::REQUEST).await.is_err() {
         return (Outcome::Reset, None);
     }
     let mut buffer = [0u8; 512];
@@ -75,7 +75,7 @@
                     return ended;
                 }
             }
-            _ => return (probe.broke(), None),
+            _ => return (probe.outcome_if_closed(), None),
         }
     }
 }
--- a/src/net/recorder.rs
+++ b/src/net/recorder.rs
@@ -3,7 +3,7 @@
 
 use super::Node;
 use crate::api::Millis;
-use crate::broker::{Counters, recorded_site};
+use crate::broker::{Counters, site_header};
 use crate::config::{Config, Records};
 use hopmoor_record::folder::Notice;
 use hopmoor_record::{Header, RealDisk, Record, Writer};
@@ -60,7 +60,7 @@
             sequence: 0,
             base: now,
             wall: wall(),
-            site: recorded_site(&config.site),
+            site: site_header(&config.site),
             counters: Counters::NAMES.iter().map(|name| (*name).to_owned()).collect(),
         };
         let writer = Writer::new(RealDisk, &records.folder, records.keep, header).map_err(|error| {
@@ -101,7 +101,7 @@
         round = round.wrapping_add(1);
         let counts = round.is_multiple_of(COUNTED);
         if counts {
-            node.broker.borrow_mut().counted(node.clock.now(), wall());
+            node.broker.borrow_mut().record_counters(node.clock.now(), wall());
         }
         if counts || node.broker.borrow().has_records() {
             flush(&node);
@@ -113,23 +113,23 @@
     let Some(recorder) = &node.recorder else { return };
     let now = node.clock.now();
     let lost = recorder.lost.load(Relaxed);
-    let taken = {
+    let take_records = {
         let mut broker = node.broker.borrow_mut();
         broker.records_lost(lost);
-        broker.taken(recorder.spare.try_recv().unwrap_or_default())
+        broker.take_records(recorder.spare.try_recv().unwrap_or_default())
     };
-    let missed = match (recorder.missed.take(), taken.missed) {
+    let missed = match (recorder.missed.take(), take_records.missed) {
         (Some((a, since)), Some((b, _))) => Some((a + b, since)),
         (a, b) => a.or(b),
     };
-    recorder.hand_on(Batch { now, wall: wall(), missed, records: taken.records });
+    recorder.hand_on(Batch { now, wall: wall(), missed, records: take_records.records });
 }
 
 /// The node ends in good order: the last records are written, if the disk takes them in time.
 pub(super) fn finish(node: &Node) {
     let Some(recorder) = &node.recorder else { return };
     flush(node);
-    node.broker.borrow_mut().stopped(node.clock.now());
+    node.broker.borrow_mut().record_stopped(node.clock.now());
     flush(node);
     recorder.queue.take();
     let _ = recorder.done.recv_timeout(LAST);
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -63,7 +63,7 @@
     node.with(|broker, now| broker.reloaded(now, true));
     if let Some(address) = new.discovery {
         node.discovery.set(Some(address));
-        node.with(|broker, now| broker.rewatch(now));
+        node.with(|broker, now| broker.discovery_replaced(now));
         node.redirected.notify_one();
     }
 }
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use super::descriptors::FULL_MS;
 use crate::api::{ClassId, Millis};
-use crate::broker::{Command, Said, TransactionId};
+use crate::broker::{Command, FrontEvent, TransactionId};
 use crate::front::{Front, Input, Step};
 use slog::info;
 use std::future::Future;
@@ -23,7 +23,7 @@
 
 type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
-enum Server {
+enum Member {
     None,
     Connecting(Connecting),
     Open { stream: TcpStream, ended: bool, end: bool, told: bool },
@@ -33,7 +33,7 @@
     Command(Option<Command>),
     Connected(io::Result<TcpStream>),
     Client(io::Result<tokio::io::Ready>),
-    Server(io::Result<tokio::io::Ready>),
+    Member(io::Result<tokio::io::Ready>),
     Tick,
 }
 
@@ -117,46 +117,46 @@
     front: &mut dyn Front,
     commands: &mut UnboundedReceiver<Command>,
 ) -> End {
-    let mut server = Server::None;
+    let mut server = Member::None;
     let (mut client_ended, mut end_client, mut client_shut) = (false, false, false);
     let mut buffer = vec![0u8; 4 * 1024];
     let mut asked = false;
     loop {
         while let Some(step) = front.step() {
             match step {
-                Step::Say(said) => {
-                    asked |= matches!(said, Said::Ask(_));
-                    if let Said::Ask(ask) = &said
+                Step::Notify(said) => {
+                    asked |= matches!(said, FrontEvent::ClientRequest(_));
+                    if let FrontEvent::ClientRequest(ask) = &said
                         && !has_room(node, id, peer, ask.class)
                     {
                         front.take(node.clock.now(), Input::Command(Command::Reject(FULL_MS)));
                     } else {
-                        node.hear(id, said);
+                        node.on_front_event(id, said);
                     }
                 }
                 Step::Dial(dial) => {
-                    server = Server::Connecting(Box::pin(dial_to(dial)));
+                    server = Member::Connecting(Box::pin(dial_to(dial)));
                     catch_up(client, front, node.clock.now(), &mut buffer, &mut client_ended);
                 }
-                Step::DropServer => {
-                    last_words(&server, front.to_server());
-                    server = Server::None;
+                Step::CloseMember => {
+                    last_words(&server, front.to_member());
+                    server = Member::None;
                 }
-                Step::ResetServer => {
-                    if let Server::Open { stream, .. } = &server {
+                Step::ResetMember => {
+                    if let Member::Open { stream, .. } = &server {
                         let _ = stream.set_zero_linger();
                     }
-                    server = Server::None;
+                    server = Member::None;
                 }
-                Step::EndServer => {
-                    if let Server::Open { end, .. } = &mut server {
+                Step::ShutdownMember => {
+                    if let Member::Open { end, .. } = &mut server {
                         *end = true;
                     }
                 }
-                Step::EndClient => end_client = true,
+                Step::ShutdownClient => end_client = true,
                 Step::ResetClient => return End::Reset,
                 Step::Finish => {
-                    last_words(&server, front.to_server());
+                    last_words(&server, front.to_member());
                     return End::Finish;
                 }
                 Step::Log { what, detail } if node.may_log() => {
@@ -175,29 +175,29 @@
         if end_client && !client_shut && front.to_client().is_empty() {
             client_shut = shut(client);
         }
-        if let Server::Open { stream, end, told, .. } = &mut server {
-            let waited = !front.to_server().is_empty();
-            if write(stream, front.to_server()).is_err() {
-                server = Server::None;
-                front.to_server().clear();
-                front.take(node.clock.now(), Input::ServerReset);
+        if let Member::Open { stream, end, told, .. } = &mut server {
+            let waited = !front.to_member().is_empty();
+            if write(stream, front.to_member()).is_err() {
+                server = Member::None;
+                front.to_member().clear();
+                front.take(node.clock.now(), Input::MemberReset);
                 continue;
             }
-            if front.to_server().is_empty() && (waited || !*told) {
+            if front.to_member().is_empty() && (waited || !*told) {
                 *told = true;
-                front.take(node.clock.now(), Input::ServerWritten);
+                front.take(node.clock.now(), Input::MemberWritten);
                 // The broker hears of it now, not with the next byte: a silent member's may never come.
                 continue;
             }
-            if *end && front.to_server().is_empty() {
+            if *end && front.to_member().is_empty() {
                 *end = false;
                 shut(stream);
             }
         }
         let client_interest = interest(!client_ended && front.reads_client(), !front.to_client().is_empty());
         let server_interest = match &server {
-            Server::Open { ended, .. } => {
-                interest(!ended && front.reads_server(), !front.to_server().is_empty())
+            Member::Open { ended, .. } => {
+                interest(!ended && front.reads_member(), !front.to_member().is_empty())
             }
             _ => None,
         };
@@ -216,20 +216,20 @@
             Happened::Command(Some(command)) => front.take(now, Input::Command(command)),
             Happened::Connected(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
-                server = Server::Open { stream, ended: false, end: false, told: false };
-                front.take(now, Input::ServerOpen);
+                server = Member::Open { stream, ended: false, end: false, told: false };
+                front.take(now, Input::MemberConnected);
                 catch_up(client, front, now, &mut buffer, &mut client_ended);
             }
             Happened::Connected(Err(_)) => {
-                server = Server::None;
-                front.take(now, Input::ServerRefused);
+                server = Member::None;
+                front.take(now, Input::MemberConnectFailed);
             }
             Happened::Client(Ok(ready)) if !ready.is_readable() && !ready.is_read_closed() => {}
             Happened::Client(Ok(_)) if client_ended || !front.reads_client() => {}
             Happened::Client(Ok(_)) => match client.try_read(&mut buffer) {
                 Ok(0) => {
                     client_ended = true;
-                    front.take(now, Input::ClientEnd);
+                    front.take(now, Input::ClientEof);
                 }
                 Ok(read) => {
                     if !asked {
@@ -241,7 +241,7 @@
                 Err(_) => front.take(now, Input::ClientReset),
             },
             Happened::Client(Err(_)) => front.take(now, Input::ClientReset),
-            Happened::Server(ready) => server_ready(front, &mut server, now, &mut buffer, ready),
+            Happened::Member(ready) => server_ready(front, &mut server, now, &mut buffer, ready),
             Happened::Tick => front.take(now, Input::Tick),
         }
     }
@@ -249,28 +249,28 @@
 
 fn server_ready(
     front: &mut dyn Front,
-    server: &mut Server,
+    server: &mut Member,
     now: Millis,
     buffer: &mut [u8],
     ready: io::Result<tokio::io::Ready>,
 ) {
-    let Server::Open { stream, ended, .. } = server else { return };
+    let Member::Open { stream, ended, .. } = server else { return };
     let read = match ready {
         Ok(ready) if !ready.is_readable() && !ready.is_read_closed() => return,
-        Ok(_) if *ended || !front.reads_server() => return,
+        Ok(_) if *ended || !front.reads_member() => return,
         Ok(_) => stream.try_read(buffer),
         Err(error) => Err(error),
     };
     match read {
         Ok(0) => {
             *ended = true;
-            front.take(now, Input::ServerEnd);
+            front.take(now, Input::MemberEof);
         }
-        Ok(read) => front.take(now, Input::Server(&buffer[..read])),
+        Ok(read) => front.take(now, Input::Member(&buffer[..read])),
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
         Err(_) => {
-            *server = Server::None;
-            front.take(now, Input::ServerReset);
+            *server = Member::None;
+            front.take(now, Input::MemberReset);
         }
     }
 }
@@ -286,7 +286,7 @@
         match (&*socket2::SockRef::from(client)).read(buffer) {
             Ok(0) => {
                 *ended = true;
-                front.take(now, Input::ClientEnd);
+                front.take(now, Input::ClientEof);
             }
             Ok(read) => front.take(now, Input::Client(&buffer[..read])),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
@@ -305,8 +305,8 @@
 }
 
 /// What still waits for a member goes out as far as its socket takes it at once; but what was not begun is not begun now.
-fn last_words(server: &Server, bytes: &mut Vec<u8>) {
-    if let Server::Open { stream, told: true, .. } = server
+fn last_words(server: &Member, bytes: &mut Vec<u8>) {
+    if let Member::Open { stream, told: true, .. } = server
         && !bytes.is_empty()
     {
         let _ = stream.try_write(bytes);
@@ -348,11 +348,11 @@
     }
 }
 
-async fn server_event(server: &mut Server, interest: Option<Interest>) -> Happened {
+async fn server_event(server: &mut Member, interest: Option<Interest>) -> Happened {
     match server {
-        Server::None => std::future::pending().await,
-        Server::Connecting(connecting) => Happened::Connected(connecting.await),
-        Server::Open { stream, .. } => Happened::Server(ready(stream, interest).await),
+        Member::None => std::future::pending().await,
+        Member::Connecting(connecting) => Happened::Connected(connecting.await),
+        Member::Open { stream, .. } => Happened::Member(ready(stream, interest).await),
     }
 }
 
