--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -2,9 +2,9 @@
 
 use super::Node;
 use crate::api::Millis;
-use crate::broker::Unfit;
+use crate::broker::ListError;
 use crate::discovery::{Call, Reply, since, whole};
-use crate::freshness::{CallFailure, PROMPT_MS};
+use crate::freshness::{CallFailure, PROMPT_REFUSAL_MS};
 use crate::pool::decode;
 use slog::warn;
 use std::io;
@@ -64,7 +64,7 @@
         if again {
             // What it had to tell counts as told: there is no time to lose.
             warn!(node.log, "discovery failed"; "error" => error, "again" => "at once");
-            node.with(|broker, _| broker.discovery_called_again());
+            node.with(|broker, _| broker.discovery_call_retried());
             continue;
         }
         if fresh.is_some_and(|named| named.elapsed() < NAMED) && node.watching.get() {
@@ -110,7 +110,7 @@
             }
         }
         // Discovery that is down refuses at once; a call that has waited was in line, or its watch broke.
-        let prompt = || first && began.elapsed().as_secs_f64() * 1_000.0 < PROMPT_MS;
+        let prompt = || first && began.elapsed().as_secs_f64() * 1_000.0 < PROMPT_REFUSAL_MS;
         let failed = |error| {
             let failure = if prompt() { CallFailure::Down } else { CallFailure::Unanswered };
             FailedCall { failure, error, again: false }
@@ -140,15 +140,15 @@
         }
         match decode(&reply.body, zones) {
             // An answer without news says nothing to the module, except that the watch has begun.
-            Ok(list) if !first && list.says_nothing(node.broker.borrow().pool_seq()) => {
+            Ok(list) if !first && list.has_no_changes(node.broker.borrow().pool_seq()) => {
                 node.with(|broker, now| broker.list_confirmed(now, as_of(now)));
             }
             // The last pool is kept where it is not taken.
             Ok(list) => {
                 let taken = node.with(|broker, now| broker.listed(now, list, as_of(now)));
-                if let Err(unfit) = taken {
-                    *anew = matches!(unfit, Unfit::Older { .. });
-                    return FailedCall::unanswered(&format!("bad answer: {unfit}"));
+                if let Err(list_error) = taken {
+                    *anew = matches!(list_error, ListError::Older { .. });
+                    return FailedCall::unanswered(&format!("bad answer: {list_error}"));
                 }
             }
             Err(error) => return spoilt(node, answered, &format!("bad answer: {error}"), !first),
@@ -256,7 +256,7 @@
             Ok(next) => next,
             Err(_) if left <= STILL => return Err(NoAnswer::Slow),
             Err(_) => {
-                node.with(|broker, now| broker.answer_spoilt(now - milliseconds(began.elapsed())));
+                node.with(|broker, now| broker.discovery_answer_invalid(now - milliseconds(began.elapsed())));
                 let next = timeout(left - STILL, open.read(buffer)).await;
                 next.map_err(|_| spoilt(&"answer stands still"))?
             }
@@ -268,7 +268,7 @@
 /// What an answer that can't be read had to tell counts as told. Where a watch stood, it is opened anew at once: once, as the first
 /// call of a watch that is spoilt as well is the module's to repeat.
 fn spoilt(node: &Rc<Node>, began: Instant, error: &str, stood: bool) -> FailedCall {
-    node.with(|broker, now| broker.answer_spoilt(now - milliseconds(began.elapsed())));
+    node.with(|broker, now| broker.discovery_answer_invalid(now - milliseconds(began.elapsed())));
     FailedCall { again: stood, ..FailedCall::unanswered(error) }
 }
 
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -5,7 +5,7 @@
 use crate::config::{self, Config, ConfigError, Fleet, Records, Site, address};
 use crate::inventory::{self, Inventory};
 use crate::pool::{PoolList, name_hash};
-use crate::xmpp::Realm;
+use crate::xmpp::XmppSettings;
 use hopmoor_record::Keep;
 use hopmoor_seal::Keys;
 use serde::Deserialize;
@@ -28,7 +28,7 @@
     /// The platform's protocol, by this configuration.
     Platform(PathBuf),
     /// XMPP, with an inventory.
-    Xmpp(Realm, PathBuf),
+    Xmpp(XmppSettings, PathBuf),
 }
 
 #[derive(Deserialize)]
@@ -246,10 +246,10 @@
             None => return Err(about(&format!("team: no team {name} in {}", file.display()))),
         },
     };
-    let realm = Realm {
+    let realm = XmppSettings {
         services: inventory.services.iter().map(|s| (s.name.clone(), s.deadline_ms)).collect(),
         teams: inventory.teams.iter().map(|team| team.domains.clone()).collect(),
-        listener_team: team,
+        default_team: team,
         // RFC 6120 13.12: no limit under 10,000 bytes.
         stanza_bytes: raw.stanza_bytes.max(10_000),
         see_other: raw.see_other_host.unwrap_or_else(|| raw.listen.clone()),
@@ -306,7 +306,7 @@
         tenants: inventory.teams.iter().map(tenant).collect(),
         listed_weight: ListedWeight::Size,
         cancel: true,
-        most_tries: 6,
+        max_attempts: 6,
         max_retry_after_ms: 2_000.0,
         connect_timeout_ms,
         ..Settings::default()
--- a/src/platform/first_line.rs
+++ b/src/platform/first_line.rs
@@ -1,9 +1,9 @@
 //! A client's first line: what it asks for, or why it is refused.
 
 use super::parse::{self, First, Open};
-use super::{LINE, Names};
+use super::{LINE, PlatformSettings};
 use crate::api::{AffinityKey, ClassId, Millis, TenantId};
-use crate::broker::{Ask, Bad, Coming};
+use crate::broker::{ArrivalKind, ClientError, ClientRequest};
 use crate::pool::name_hash;
 
 /// `d` runs from when the client sent its line: kept back for the way here and for that of the answer. Guards
@@ -21,13 +21,13 @@
         /// The line as it came, without its end.
         line: String,
         /// What it asks for.
-        ask: Box<Ask>,
+        ask: Box<ClientRequest>,
     },
 }
 
 /// Why a client is refused before it is served.
 pub(super) struct Refused {
-    pub(super) bad: Bad,
+    pub(super) bad: ClientError,
     /// What the client and the log are told.
     pub(super) what: &'static str,
     /// What the log is told beside.
@@ -35,21 +35,21 @@
 }
 
 impl Refused {
-    fn new(bad: Bad, what: &'static str, detail: String) -> Self {
+    fn new(bad: ClientError, what: &'static str, detail: String) -> Self {
         Refused { bad, what, detail }
     }
 
     fn too_long(bytes: usize) -> Self {
-        Refused::new(Bad::TooLong, "first line too long", format!("{bytes} bytes"))
+        Refused::new(ClientError::TooLong, "first line too long", format!("{bytes} bytes"))
     }
 
     /// Escaped: what is shown must not break the log's own lines.
-    fn showing(bad: Bad, what: &'static str, line: &[u8]) -> Self {
+    fn showing(bad: ClientError, what: &'static str, line: &[u8]) -> Self {
         Refused::new(bad, what, line.escape_ascii().to_string().chars().take(SHOWN).collect())
     }
 
     fn malformed(line: &[u8]) -> Self {
-        Refused::showing(Bad::Malformed, "malformed first line", line)
+        Refused::showing(ClientError::Malformed, "malformed first line", line)
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 /// Reads a first line.
-pub(super) fn read(line: &[u8], names: &Names) -> Result<FirstLine, Refused> {
+pub(super) fn read(line: &[u8], names: &PlatformSettings) -> Result<FirstLine, Refused> {
     let text = std::str::from_utf8(line).map_err(|_| Refused::malformed(line))?;
     match parse::first(text) {
         None => Err(Refused::malformed(line)),
@@ -83,8 +83,8 @@
     }
 }
 
-fn ask(open: &Open<'_>, names: &Names, line: &[u8]) -> Result<Ask, Refused> {
-    let unknown = |what| Refused::showing(Bad::Unknown, what, line);
+fn ask(open: &Open<'_>, names: &PlatformSettings, line: &[u8]) -> Result<ClientRequest, Refused> {
+    let unknown = |what| Refused::showing(ClientError::Unknown, what, line);
     let class = place(&names.classes, open.field("c")).ok_or_else(|| unknown("unknown class"))?;
     let tenant = match open.field("t") {
         None if names.tenants.is_empty() => 0,
@@ -94,7 +94,7 @@
     if !open.figures_hold() {
         return Err(Refused::malformed(line));
     }
-    Ok(Ask {
+    Ok(ClientRequest {
         name: Some(open.id.into()),
         class: ClassId(class),
         tenant: TenantId(tenant),
@@ -114,10 +114,10 @@
     names.iter().position(|known| known == name).map(|at| at as u32)
 }
 
-fn coming(open: &Open<'_>) -> Coming {
+fn coming(open: &Open<'_>) -> ArrivalKind {
     match (open.field("again"), open.field("r")) {
-        (Some("1"), _) => Coming::Return,
-        (_, Some("1")) => Coming::Retry,
-        _ => Coming::First,
+        (Some("1"), _) => ArrivalKind::Return,
+        (_, Some("1")) => ArrivalKind::Retry,
+        _ => ArrivalKind::First,
     }
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -9,9 +9,9 @@
 pub use probe::Probe;
 
 use crate::api::*;
-use crate::broker::{Bad, Command, Said};
+use crate::broker::{ClientError, Command, FrontEvent};
 use crate::config::Site;
-use crate::front::{BUFFER, FIRST_MS, Front, Input, Step};
+use crate::front::{FIRST_LINE_TIMEOUT_MS, Front, Input, MAX_BUFFERED_BYTES, Step};
 use first_line::{FirstLine, Refused};
 use parse::{Answer, First};
 use relay::Relay;
@@ -26,21 +26,21 @@
 
 /// What the front needs of the settings.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct PlatformSettings {
     classes: Vec<String>,
     tenants: Vec<String>,
-    tells_load: bool,
-    answers_report: bool,
+    has_load_lines: bool,
+    has_load_reports: bool,
 }
 
-impl Names {
+impl PlatformSettings {
     /// Takes them from the site's settings.
     pub fn new(site: &Site) -> Self {
-        Names {
+        PlatformSettings {
             classes: site.classes.clone(),
             tenants: site.tenants.clone(),
-            tells_load: site.tells_load,
-            answers_report: site.answers_report,
+            has_load_lines: site.has_load_lines,
+            has_load_reports: site.has_load_reports,
         }
     }
 }
@@ -66,13 +66,13 @@
 
 /// One client connection.
 pub struct Session {
-    names: Rc<Names>,
+    names: Rc<PlatformSettings>,
     state: State,
     line: String,
     from_client: Vec<u8>,
     from_server: Vec<u8>,
     to_client: Vec<u8>,
-    to_server: Vec<u8>,
+    to_member: Vec<u8>,
     steps: VecDeque<Step>,
     due: Option<Millis>,
     client_ended: bool,
@@ -82,7 +82,7 @@
 
 impl Session {
     /// A connection just accepted.
-    pub fn new(now: Millis, names: Rc<Names>) -> Self {
+    pub fn new(now: Millis, names: Rc<PlatformSettings>) -> Self {
         Session {
             names,
             state: State::First,
@@ -90,16 +90,16 @@
             from_client: Vec::new(),
             from_server: Vec::new(),
             to_client: Vec::new(),
-            to_server: Vec::new(),
+            to_member: Vec::new(),
             steps: VecDeque::new(),
-            due: Some(now + FIRST_MS),
+            due: Some(now + FIRST_LINE_TIMEOUT_MS),
             client_ended: false,
             checked: false,
         }
     }
 
-    fn say(&mut self, said: Said) {
-        self.steps.push_back(Step::Say(said));
+    fn say(&mut self, said: FrontEvent) {
+        self.steps.push_back(Step::Notify(said));
     }
 
     /// The final answer, then the end of the connection.
@@ -118,7 +118,7 @@
     fn bad(&mut self, refused: Refused) {
         let Refused { bad, what, detail } = refused;
         self.steps.push_back(Step::Log { what, detail });
-        self.say(Said::Bad(bad));
+        self.say(FrontEvent::ClientError(bad));
         self.finish(&format!("ERR {what}"));
     }
 
@@ -133,13 +133,13 @@
             Ok(FirstLine::Ping) => {
                 self.state = State::Ping;
                 self.due = None;
-                self.say(Said::Ping);
+                self.say(FrontEvent::Ping);
             }
             Ok(FirstLine::Open { line, ask }) => {
                 self.line = line;
                 self.state = State::Held;
                 self.due = None;
-                self.say(Said::Ask(*ask));
+                self.say(FrontEvent::ClientRequest(*ask));
             }
         }
     }
@@ -151,14 +151,14 @@
                 self.to_client.extend_from_slice(b"PONG\r\n");
                 self.state = State::First;
                 self.checked = true;
-                self.due = Some(now + FIRST_MS);
+                self.due = Some(now + FIRST_LINE_TIMEOUT_MS);
                 self.first_line();
             }
             // Anything but `PONG` is a no.
             (Command::Unready, State::Ping) => self.finish("ERR Unready"),
             (Command::Open { dial, wait_ms, .. }, State::Held) => {
                 if let Some(First::Open(open)) = parse::first(&self.line) {
-                    self.to_server = open.line(wait_ms.max(1.0) as u64).into_bytes();
+                    self.to_member = open.line(wait_ms.max(1.0) as u64).into_bytes();
                 }
                 self.from_server.clear();
                 self.state = State::Opening { written: false };
@@ -180,10 +180,10 @@
 
     /// Closes the flow before anything else happens: the next one must not be out beside it.
     fn flow_over(&mut self) {
-        self.to_server.clear();
+        self.to_member.clear();
         self.from_server.clear();
         self.state = State::Held;
-        self.steps.push_back(Step::DropServer);
+        self.steps.push_back(Step::CloseMember);
     }
 
     /// `MOVE` stands between two lines. A line that does not end in time is left as it is.
@@ -195,15 +195,15 @@
             } else {
                 b"\r\nMOVE\r\n"
             });
-            self.steps.push_back(Step::DropServer);
+            self.steps.push_back(Step::CloseMember);
             self.over(Step::Finish);
         }
     }
 
     fn ended(&mut self, outcome: Outcome, report: Option<Report>) {
         self.flow_over();
-        let report = report.filter(|_| self.names.answers_report);
-        self.say(Said::Ended(outcome, report));
+        let report = report.filter(|_| self.names.has_load_reports);
+        self.say(FrontEvent::Ended(outcome, report));
     }
 
     /// Reads the pool member's answer to the first line.
@@ -225,18 +225,18 @@
                 self.to_client.extend_from_slice(&bytes);
                 let waiting = std::mem::take(&mut self.from_client);
                 relay.client_sent(now, &waiting);
-                self.to_server.extend_from_slice(&waiting);
+                self.to_member.extend_from_slice(&waiting);
                 self.state = State::Up(relay);
-                self.say(Said::Up);
+                self.say(FrontEvent::Up);
                 self.told(seen);
                 if self.client_ended {
-                    self.steps.push_back(Step::EndServer);
+                    self.steps.push_back(Step::ShutdownMember);
                     self.due = Some(now + END_WAIT_MS);
                 }
             }
             Answer::Bye => {
-                self.say(Said::Ended(Outcome::Ok, report.filter(|_| self.names.answers_report)));
-                self.steps.push_back(Step::DropServer);
+                self.say(FrontEvent::Ended(Outcome::Ok, report.filter(|_| self.names.has_load_reports)));
+                self.steps.push_back(Step::CloseMember);
                 self.finish(&line);
             }
             Answer::Move => self.ended(Outcome::Cancelled, None),
@@ -248,8 +248,8 @@
     fn told(&mut self, seen: Vec<relay::Seen>) {
         for seen in seen {
             match seen {
-                relay::Seen::Reply(ms) => self.say(Said::Message(ms)),
-                relay::Seen::Load(load) if self.names.tells_load => self.say(Said::Load(load)),
+                relay::Seen::Reply(ms) => self.say(FrontEvent::Message(ms)),
+                relay::Seen::Load(load) if self.names.has_load_lines => self.say(FrontEvent::Load(load)),
                 relay::Seen::Load(_) => {}
             }
         }
@@ -268,16 +268,16 @@
                 if self.from_client.len() > LINE {
                     let detail = format!("{} bytes", self.from_client.len());
                     self.steps.push_back(Step::Log { what: "client does not wait", detail });
-                    self.say(Said::Bad(Bad::TooLong));
+                    self.say(FrontEvent::ClientError(ClientError::TooLong));
                     self.left("ERR client does not wait");
                 }
             }
             State::Up(relay) => {
                 relay.client_sent(now, bytes);
-                self.to_server.extend_from_slice(bytes);
+                self.to_member.extend_from_slice(bytes);
                 self.watch_mute(now);
             }
-            State::Ending => self.to_server.extend_from_slice(bytes),
+            State::Ending => self.to_member.extend_from_slice(bytes),
             State::Moving(_) | State::Over => {}
         }
     }
@@ -316,8 +316,8 @@
 
     /// Nobody waits for the answer any more.
     fn left(&mut self, answer: &str) {
-        self.say(Said::Left);
-        self.steps.push_back(Step::DropServer);
+        self.say(FrontEvent::Left);
+        self.steps.push_back(Step::CloseMember);
         self.finish(answer);
     }
 
@@ -327,16 +327,16 @@
             State::First if self.from_client.is_empty() => self.over(Step::Finish),
             State::First => {
                 let detail = format!("{} bytes", self.from_client.len());
-                self.bad(Refused { bad: Bad::HalfClosed, what: "early close", detail })
+                self.bad(Refused { bad: ClientError::HalfClosed, what: "early close", detail })
             }
             State::Ping | State::Held | State::Opening { .. } => self.left("ERR early close"),
             State::Up(_) => {
-                self.steps.push_back(Step::EndServer);
+                self.steps.push_back(Step::ShutdownMember);
                 self.due = Some(now + END_WAIT_MS);
             }
             State::Moving(_) => self.try_move(true),
             State::Ending => {
-                self.steps.push_back(Step::EndServer);
+                self.steps.push_back(Step::ShutdownMember);
                 self.over(Step::Finish);
             }
             State::Over => {}
@@ -351,10 +351,10 @@
             }
             State::Up(relay) => {
                 let said = match relay.last() {
-                    Some(Answer::Bye) => Said::Ended(Outcome::Ok, None),
-                    Some(Answer::Move) => Said::SentAway,
-                    _ if self.client_ended => Said::Ended(Outcome::Cancelled, None),
-                    _ => Said::Ended(Outcome::Reset, None),
+                    Some(Answer::Bye) => FrontEvent::Ended(Outcome::Ok, None),
+                    Some(Answer::Move) => FrontEvent::MovedByMember,
+                    _ if self.client_ended => FrontEvent::Ended(Outcome::Cancelled, None),
+                    _ => FrontEvent::Ended(Outcome::Reset, None),
                 };
                 self.say(said);
                 // The client's connection ends as the member's did.
@@ -363,7 +363,7 @@
                 } else if self.client_ended {
                     self.over(Step::Finish);
                 } else {
-                    self.steps.push_back(Step::EndClient);
+                    self.steps.push_back(Step::ShutdownClient);
                     self.state = State::Ending;
                     self.due = Some(now + END_WAIT_MS);
                 }
@@ -379,35 +379,35 @@
     fn take(&mut self, now: Millis, input: Input<'_>) {
         match input {
             Input::Client(bytes) => self.client(now, bytes),
-            Input::ClientEnd => self.client_end(now),
+            Input::ClientEof => self.client_end(now),
             Input::ClientReset => match &self.state {
                 State::Over => {}
                 State::First | State::Ending | State::Moving(_) => self.over(Step::ResetClient),
                 _ => {
-                    self.say(Said::Left);
-                    self.steps.push_back(Step::ResetServer);
+                    self.say(FrontEvent::Left);
+                    self.steps.push_back(Step::ResetMember);
                     self.over(Step::ResetClient);
                 }
             },
-            Input::ServerOpen => {
+            Input::MemberConnected => {
                 if matches!(self.state, State::Opening { .. }) {
-                    self.say(Said::Connected);
+                    self.say(FrontEvent::Connected);
                 }
             }
-            Input::ServerRefused => {
+            Input::MemberConnectFailed => {
                 if matches!(self.state, State::Opening { .. }) {
                     self.ended(Outcome::Unreachable, None);
                 }
             }
-            Input::Server(bytes) => self.server(now, bytes),
-            Input::ServerWritten => {
+            Input::Member(bytes) => self.server(now, bytes),
+            Input::MemberWritten => {
                 if let State::Opening { written } = &mut self.state {
                     *written = true;
-                    self.say(Said::Sent);
+                    self.say(FrontEvent::Sent);
                 }
             }
-            Input::ServerEnd => self.server_end(now, false),
-            Input::ServerReset => self.server_end(now, true),
+            Input::MemberEof => self.server_end(now, false),
+            Input::MemberReset => self.server_end(now, true),
             Input::Command(command) => self.command(now, command),
             Input::Tick => {
                 if self.due.is_none_or(|due| now < due) {
@@ -418,18 +418,18 @@
                     State::First if self.checked && self.from_client.is_empty() => self.over(Step::Finish),
                     State::First => {
                         let detail = format!("{} bytes", self.from_client.len());
-                        self.bad(Refused { bad: Bad::Silent, what: "silent client", detail })
+                        self.bad(Refused { bad: ClientError::Silent, what: "silent client", detail })
                     }
                     State::Moving(_) => self.try_move(true),
                     State::Ending => self.over(Step::Finish),
                     State::Up(_) if self.client_ended => {
-                        self.say(Said::Left);
-                        self.steps.push_back(Step::DropServer);
+                        self.say(FrontEvent::Left);
+                        self.steps.push_back(Step::CloseMember);
                         self.over(Step::Finish);
                     }
                     State::Up(relay) if relay.mute_at().is_some_and(|at| now >= at) => {
                         self.steps.push_back(Step::Log { what: "mute connection", detail: String::new() });
-                        self.say(Said::Ended(Outcome::TimedOut, None));
+                        self.say(FrontEvent::Ended(Outcome::TimedOut, None));
                         self.command(now, Command::Move);
                     }
                     _ => {}
@@ -450,19 +450,19 @@
         &mut self.to_client
     }
 
-    fn to_server(&mut self) -> &mut Vec<u8> {
-        &mut self.to_server
+    fn to_member(&mut self) -> &mut Vec<u8> {
+        &mut self.to_member
     }
 
     fn reads_client(&self) -> bool {
         match self.state {
-            State::Up(_) | State::Ending => self.to_server.len() < BUFFER,
+            State::Up(_) | State::Ending => self.to_member.len() < MAX_BUFFERED_BYTES,
             // One that waits is read on, so that its end is seen.
             _ => true,
         }
     }
 
-    fn reads_server(&self) -> bool {
-        self.to_client.len() < BUFFER
+    fn reads_member(&self) -> bool {
+        self.to_client.len() < MAX_BUFFERED_BYTES
     }
 }
--- a/src/platform/probe.rs
+++ b/src/platform/probe.rs
@@ -13,7 +13,7 @@
 
 impl Probe {
     /// What to send.
-    pub const ASK: &'static [u8] = b"STATS\r\n";
+    pub const REQUEST: &'static [u8] = b"STATS\r\n";
 
     /// Takes bytes; returns how the probe ended once they tell.
     pub fn take(&mut self, bytes: &[u8]) -> Option<(Outcome, Option<ProbeReport>)> {
@@ -45,7 +45,7 @@
     }
 
     /// What a break of the connection means: a `PONG` without a report is an answer all the same.
-    pub fn broke(&self) -> Outcome {
+    pub fn outcome_if_closed(&self) -> Outcome {
         if self.pong { Outcome::Ok } else { Outcome::Reset }
     }
 }
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -50,7 +50,7 @@
 
 impl PoolList {
     /// Whether it names no change to a list of this version.
-    pub fn says_nothing(&self, at_hand: u64) -> bool {
+    pub fn has_no_changes(&self, at_hand: u64) -> bool {
         !self.whole && self.members.is_empty() && self.seq >= at_hand
     }
 }
@@ -124,7 +124,7 @@
             check_dial(&self.dial).map_err(|error| ListError(format!("host {}: {error}", self.host)))?;
         }
         Ok(Member {
-            zone: zone_number(&self.site, zones),
+            zone: zone_index(&self.site, zones),
             name: self.host,
             dial: self.dial,
             cell: self.block,
@@ -136,7 +136,7 @@
 }
 
 /// The zone's place in the configured zones; one that is not configured is a zone apart, never our own.
-pub fn zone_number(name: &str, zones: &[String]) -> u32 {
+pub fn zone_index(name: &str, zones: &[String]) -> u32 {
     zones.iter().position(|zone| zone == name).unwrap_or(zones.len()) as u32
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -230,7 +230,7 @@
 
     /// Smooths the rate at which this gateway places, over the time a backend takes to warm.
     pub(crate) fn rate(&mut self, now: Millis, weight: f64, interval: Millis, short: bool) {
-        let age = (now - self.started.unwrap_or(now)).clamp(interval, self.settings.cold_ms.max(interval));
+        let age = (now - self.started.unwrap_or(now)).clamp(interval, self.settings.warm_up_ms.max(interval));
         let placed = std::mem::take(&mut self.placed);
         let sample = placed / weight / interval;
         // A storm of returning clients must not pass for what a backend can take.
--- a/src/xmpp/mod.rs
+++ b/src/xmpp/mod.rs
@@ -7,8 +7,8 @@
 mod xml;
 
 use crate::api::*;
-use crate::broker::{Ask, Bad, Coming, Command, Failure, Said};
-use crate::front::{BUFFER, FIRST_MS, Front, Input, Step};
+use crate::broker::{ArrivalKind, ClientError, ClientRequest, Command, Failure, FrontEvent};
+use crate::front::{FIRST_LINE_TIMEOUT_MS, Front, Input, MAX_BUFFERED_BYTES, Step};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use xml::{Child, Cutter, Unit, XmlError, escape};
@@ -22,13 +22,13 @@
 
 /// What the front needs to know of the operator's file and the inventory.
 #[derive(Clone, Debug, Default)]
-pub struct Realm {
+pub struct XmppSettings {
     /// Services, by the number of their class, with how long a stream may be negotiated.
     pub services: Vec<(String, Millis)>,
     /// The domains of each team, by the number of its tenant.
     pub teams: Vec<Vec<String>>,
     /// The team of clients that name none.
-    pub listener_team: Option<u32>,
+    pub default_team: Option<u32>,
     /// The longest stanza.
     pub stanza_bytes: usize,
     /// Where moved clients are to come again.
@@ -53,7 +53,7 @@
 
 /// One client stream.
 pub struct Session {
-    realm: Rc<Realm>,
+    realm: Rc<XmppSettings>,
     state: State,
     client: Cutter,
     server: Cutter,
@@ -73,14 +73,14 @@
     /// The stream error that the member closed with.
     server_error: Vec<u8>,
     to_client: Vec<u8>,
-    to_server: Vec<u8>,
+    to_member: Vec<u8>,
     steps: VecDeque<Step>,
     due: Option<Millis>,
 }
 
 impl Session {
     /// A connection just accepted.
-    pub fn new(now: Millis, realm: Rc<Realm>) -> Self {
+    pub fn new(now: Millis, realm: Rc<XmppSettings>) -> Self {
         Session {
             state: State::Header,
             client: Cutter::new(realm.stanza_bytes),
@@ -95,14 +95,14 @@
             silent: false,
             server_error: Vec::new(),
             to_client: Vec::new(),
-            to_server: Vec::new(),
+            to_member: Vec::new(),
             steps: VecDeque::new(),
-            due: Some(now + FIRST_MS),
+            due: Some(now + FIRST_LINE_TIMEOUT_MS),
         }
     }
 
-    fn say(&mut self, said: Said) {
-        self.steps.push_back(Step::Say(said));
+    fn say(&mut self, said: FrontEvent) {
+        self.steps.push_back(Step::Notify(said));
     }
 
     fn over(&mut self, step: Step) {
@@ -139,16 +139,16 @@
     /// Ends the member's stream in good order where one was begun there.
     fn close_flow(&mut self) {
         if matches!(self.state, State::Negotiating | State::Up | State::Ending) {
-            self.to_server.extend_from_slice(b"</stream:stream>");
+            self.to_member.extend_from_slice(b"</stream:stream>");
         }
     }
 
     /// The client's own fault: the transaction is over, and so is what was begun for it.
-    fn bad_client(&mut self, bad: Bad, condition: &'static str, what: &'static str) {
+    fn bad_client(&mut self, bad: ClientError, condition: &'static str, what: &'static str) {
         self.steps.push_back(Step::Log { what, detail: condition.to_owned() });
         self.say(match self.state {
-            State::Header => Said::Bad(bad),
-            _ => Said::Left,
+            State::Header => FrontEvent::ClientError(bad),
+            _ => FrontEvent::Left,
         });
         self.error(condition, "");
     }
@@ -162,7 +162,7 @@
                 Ok(None) => return,
                 Err(error) => {
                     let long = error == XmlError::PolicyViolation;
-                    let bad = if long { Bad::TooLong } else { Bad::Malformed };
+                    let bad = if long { ClientError::TooLong } else { ClientError::Malformed };
                     return self.bad_client(bad, error.condition(), "bad stream");
                 }
             }
@@ -173,11 +173,11 @@
         match (self.state, unit) {
             (State::Header, Unit::Header { attributes, bytes }) => self.asked(&attributes, bytes),
             (State::Header, _) => {
-                self.bad_client(Bad::Malformed, XmlError::BadFormat.condition(), "bad stream")
+                self.bad_client(ClientError::Malformed, XmlError::BadFormat.condition(), "bad stream")
             }
             (_, Unit::Stanza { name, .. }) if name == "starttls" => {
                 // There is no TLS: RFC 6120 5.4.2.2 answers so and ends the stream.
-                self.say(Said::Left);
+                self.say(FrontEvent::Left);
                 self.greet();
                 let failure: &[u8] = b"<failure xmlns='urn:ietf:params:xml:ns:xmpp-tls'/></stream:stream>";
                 self.to_client.extend_from_slice(failure);
@@ -185,31 +185,31 @@
                 self.over(Step::Finish);
             }
             (State::Held | State::Negotiating, Unit::End(bytes)) => {
-                self.to_server.extend_from_slice(&bytes);
-                self.say(Said::Left);
+                self.to_member.extend_from_slice(&bytes);
+                self.say(FrontEvent::Left);
                 self.greet();
                 self.to_client.extend_from_slice(b"</stream:stream>");
                 self.over(Step::Finish);
             }
             (_, Unit::End(bytes)) => {
-                self.to_server.extend_from_slice(&bytes);
+                self.to_member.extend_from_slice(&bytes);
                 self.state = State::Ending;
                 self.due = Some(now + END_WAIT_MS);
-                self.say(Said::Left);
+                self.say(FrontEvent::Left);
             }
             (state, Unit::Header { bytes, .. } | Unit::Stanza { bytes, .. } | Unit::Space(bytes)) => {
                 if !self.committed {
                     self.opening.extend_from_slice(&bytes);
                     if self.opening.len() > self.realm.stanza_bytes {
                         return self.bad_client(
-                            Bad::TooLong,
+                            ClientError::TooLong,
                             "policy-violation",
                             "too much before the answer",
                         );
                     }
                 }
                 if state != State::Held {
-                    self.to_server.extend_from_slice(&bytes);
+                    self.to_member.extend_from_slice(&bytes);
                 }
             }
         }
@@ -221,28 +221,28 @@
         };
         let (to, from) = (value("to").to_owned(), value("from").to_owned());
         if value("xmlns:stream") != "http://etherx.jabber.org/streams" || value("xmlns") != "jabber:client" {
-            return self.bad_client(Bad::Malformed, "invalid-namespace", "bad stream header");
+            return self.bad_client(ClientError::Malformed, "invalid-namespace", "bad stream header");
         }
         if !value("version").starts_with("1.") {
-            return self.bad_client(Bad::Malformed, "unsupported-version", "bad stream header");
+            return self.bad_client(ClientError::Malformed, "unsupported-version", "bad stream header");
         }
         let Some(class) = self.realm.services.iter().position(|(name, _)| *name == to) else {
-            return self.bad_client(Bad::Unknown, "host-unknown", "unknown service");
+            return self.bad_client(ClientError::Unknown, "host-unknown", "unknown service");
         };
         let domain = from.split('/').next().unwrap_or("").rsplit('@').next().unwrap_or("");
         let team = self.realm.teams.iter().position(|domains| domains.iter().any(|known| known == domain));
         let team = match (domain, team) {
-            ("", _) => self.realm.listener_team,
+            ("", _) => self.realm.default_team,
             (_, team) => team.map(|team| team as u32),
         };
         let Some(team) = team else {
-            return self.bad_client(Bad::Unknown, "invalid-from", "unknown team");
+            return self.bad_client(ClientError::Unknown, "invalid-from", "unknown team");
         };
         self.to = to;
         self.opening = bytes;
         self.state = State::Held;
         self.due = None;
-        self.say(Said::Ask(Ask {
+        self.say(FrontEvent::ClientRequest(ClientRequest {
             name: None,
             class: ClassId(class as u32),
             tenant: TenantId(team),
@@ -251,7 +251,7 @@
             grace_ms: self.realm.services[class].1 - MARGIN_MS,
             load_hint: None,
             adopted: None,
-            coming: Coming::First,
+            coming: ArrivalKind::First,
             negotiates: true,
         }));
     }
@@ -293,11 +293,11 @@
                     self.over(Step::Finish);
                 }
                 _ => {
-                    self.say(Said::Ended(Outcome::Ok, None));
+                    self.say(FrontEvent::Ended(Outcome::Ok, None));
                     self.to_client.extend_from_slice(&bytes);
                     self.state = State::Ending;
                     self.due = Some(now + END_WAIT_MS);
-                    self.steps.push_back(Step::EndClient);
+                    self.steps.push_back(Step::ShutdownClient);
                 }
             },
             Unit::Stanza { name, attributes, children, bytes } => {
@@ -306,7 +306,7 @@
                 let bind = |child: &Child| child.name == "bind" && child.namespace.as_deref() == Some(BIND);
                 if self.state == State::Negotiating && name == "iq" && result && children.iter().any(bind) {
                     self.state = State::Up;
-                    self.say(Said::Up);
+                    self.say(FrontEvent::Up);
                 }
             }
             Unit::Header { bytes, .. } | Unit::Space(bytes) => self.pass(&bytes),
@@ -316,7 +316,7 @@
     /// Passes a member's word on. With the first one the client is that member's.
     fn pass(&mut self, bytes: &[u8]) {
         if !std::mem::replace(&mut self.committed, true) {
-            self.say(Said::Committed);
+            self.say(FrontEvent::Committed);
             self.greeted = true;
             self.opening = Vec::new();
             let header = std::mem::take(&mut self.held_header);
@@ -330,11 +330,11 @@
             State::Negotiating => {
                 self.flow_over();
                 self.silent = false;
-                self.say(Said::Ended(outcome, None));
+                self.say(FrontEvent::Ended(outcome, None));
             }
             State::Up => {
-                self.say(Said::Ended(outcome, None));
-                self.to_server.clear();
+                self.say(FrontEvent::Ended(outcome, None));
+                self.to_member.clear();
                 self.failed("remote-connection-failed");
             }
             State::Ending => self.over(Step::Finish),
@@ -346,11 +346,11 @@
     fn flow_over(&mut self) {
         self.state = State::Held;
         // A stream that was begun there is ended in good order.
-        self.to_server = if self.connected { b"</stream:stream>".to_vec() } else { Vec::new() };
+        self.to_member = if self.connected { b"</stream:stream>".to_vec() } else { Vec::new() };
         self.connected = false;
         self.held_header.clear();
         self.server = Cutter::new(self.realm.stanza_bytes);
-        self.steps.push_back(Step::DropServer);
+        self.steps.push_back(Step::CloseMember);
     }
 
     /// Ends the client's stream: with the member's own error where it gave one.
@@ -366,7 +366,7 @@
                 self.state = State::Negotiating;
                 self.silent = true;
                 self.server_error.clear();
-                self.to_server = self.opening.clone();
+                self.to_member = self.opening.clone();
                 self.steps.push_back(Step::Dial(dial));
             }
             (Command::Abandon, State::Negotiating) => self.flow_over(),
@@ -402,26 +402,26 @@
                     self.client_sent(now);
                 }
             }
-            Input::ClientEnd | Input::ClientReset => {
+            Input::ClientEof | Input::ClientReset => {
                 match self.state {
                     State::Over => return,
                     State::Ending => {}
-                    State::Header => self.say(Said::Bad(Bad::HalfClosed)),
-                    _ => self.say(Said::Left),
+                    State::Header => self.say(FrontEvent::ClientError(ClientError::HalfClosed)),
+                    _ => self.say(FrontEvent::Left),
                 }
                 self.close_flow();
                 self.over(Step::Finish);
             }
-            Input::ServerOpen if self.state == State::Negotiating => {
+            Input::MemberConnected if self.state == State::Negotiating => {
                 self.connected = true;
-                self.say(Said::Connected);
+                self.say(FrontEvent::Connected);
             }
-            Input::ServerRefused => self.flow_ended(Outcome::Unreachable),
-            Input::Server(bytes) => {
+            Input::MemberConnectFailed => self.flow_ended(Outcome::Unreachable),
+            Input::Member(bytes) => {
                 self.server.feed(bytes);
                 self.server_sent(now);
             }
-            Input::ServerEnd | Input::ServerReset => {
+            Input::MemberEof | Input::MemberReset => {
                 self.connected = false;
                 self.flow_ended(Outcome::Reset);
             }
@@ -429,13 +429,15 @@
             Input::Tick if self.due.is_some_and(|due| now >= due) => {
                 self.due = None;
                 match self.state {
-                    State::Header => self.bad_client(Bad::Silent, "connection-timeout", "silent client"),
+                    State::Header => {
+                        self.bad_client(ClientError::Silent, "connection-timeout", "silent client")
+                    }
                     State::Ending => self.over(Step::Finish),
                     _ => {}
                 }
             }
-            Input::ServerWritten if self.state == State::Negotiating => self.say(Said::Sent),
-            Input::ServerOpen | Input::ServerWritten | Input::Tick => {}
+            Input::MemberWritten if self.state == State::Negotiating => self.say(FrontEvent::Sent),
+            Input::MemberConnected | Input::MemberWritten | Input::Tick => {}
         }
     }
 
@@ -451,15 +453,15 @@
         &mut self.to_client
     }
 
-    fn to_server(&mut self) -> &mut Vec<u8> {
-        &mut self.to_server
+    fn to_member(&mut self) -> &mut Vec<u8> {
+        &mut self.to_member
     }
 
     fn reads_client(&self) -> bool {
-        self.to_server.len() < BUFFER
+        self.to_member.len() < MAX_BUFFERED_BYTES
     }
 
-    fn reads_server(&self) -> bool {
-        self.to_client.len() < BUFFER
+    fn reads_member(&self) -> bool {
+        self.to_client.len() < MAX_BUFFERED_BYTES
     }
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -8,7 +8,7 @@
 
 /// A fleet and what comes to it.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct WarmupScenario {
     pub gateways: u32,
     pub members: u64,
     /// Of them just started; with zones, all of the first zone and no others.
@@ -33,7 +33,7 @@
     pub restarted: bool,
 }
 
-impl Play {
+impl WarmupScenario {
     /// Whether a gateway or member, by its number from 0, is in the first zone.
     fn in_first_zone(self, number: u64) -> bool {
         number.is_multiple_of(u64::from(self.zones))
@@ -56,7 +56,7 @@
 
 /// What was sent to a member that started, over what it is allowed with chance: the largest excess in any span; and how many
 /// connections each got on average.
-pub fn excess(play: Play, seed: u64) -> (f64, f64) {
+pub fn excess(play: WarmupScenario, seed: u64) -> (f64, f64) {
     let tenants =
         vec![Tenant { quota_connections: play.rate * 40.0, quota_rate: play.rate, ..Tenant::default() }];
     let settings = |at: u32| Settings {
@@ -64,10 +64,10 @@
         balancers: play.gateways,
         tenants: tenants.clone(),
         start_capacity: play.start,
-        cold_ms: play.warm,
+        warm_up_ms: play.warm,
         overload_factor: play.factor,
-        fall_ms: play.span,
-        most_tries: 6,
+        overload_span_ms: play.span,
+        max_attempts: 6,
         max_retry_after_ms: 1_500.0,
         tick_ms: 2.0,
         ..Settings::default()
@@ -216,7 +216,7 @@
 }
 
 /// Two settings as operators state them: 3 times for 3 s from an eighth on, 4 times for 1 s from a third on.
-pub const SLOW: Play = Play {
+pub const SLOW: WarmupScenario = WarmupScenario {
     gateways: 30,
     members: 12,
     cold: 6,
@@ -232,7 +232,7 @@
     zones: 1,
     restarted: false,
 };
-pub const QUICK: Play = Play {
+pub const QUICK: WarmupScenario = WarmupScenario {
     members: 10,
     cold: 5,
     rate: 20.0,
@@ -243,7 +243,7 @@
     warm: 7_700.0,
     ..SLOW
 };
-pub const LONG: Play = Play {
+pub const LONG: WarmupScenario = WarmupScenario {
     members: 14,
     rate: 30.0,
     factor: 2.0,
@@ -253,10 +253,10 @@
     groups: 30,
     ..SLOW
 };
-pub const TWENTY: Play = Play { gateways: 20, members: 10, cold: 3, rate: 20.0, ..SLOW };
+pub const TWENTY: WarmupScenario = WarmupScenario { gateways: 20, members: 10, cold: 3, rate: 20.0, ..SLOW };
 
 /// The largest excess over these seeds, and the least that newcomers got.
-pub fn worst(play: Play, seeds: u64) -> (f64, f64) {
+pub fn worst(play: WarmupScenario, seeds: u64) -> (f64, f64) {
     let all = (0..seeds).map(|seed| excess(play, seed));
     let (most, least) = all.fold((f64::NEG_INFINITY, f64::INFINITY), |(most, least), (over, sent)| {
         (most.max(over), least.min(sent))
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -1,6 +1,6 @@
 //! The wire: every event is understood, every action is written, ids are freed, and errors are plain.
 use hopmoor::config::settings;
-use hopmoor::drill::Host;
+use hopmoor::drill::Adapter;
 use hopmoor::*;
 use serde_json::{Value, json};
 
@@ -12,13 +12,13 @@
   "tenants": [{"name": "t"}], "invariants": {"askWithinMs": 10000.0, "coldMs": 23000.0}, "unknownKey": 7}"#;
 
 struct Drill {
-    host: Host,
+    host: Adapter,
     now: f64,
 }
 
 impl Drill {
     fn started() -> Self {
-        let mut drill = Drill { host: Host::default(), now: 1_000.0 };
+        let mut drill = Drill { host: Adapter::default(), now: 1_000.0 };
         let start = format!(
             r#"{{"START":{{"relay":"relay/0","entropy":7,"setup":{SETUP}}}}},
             {{"LEDGER":{{"list":3,"entries":[{{"phase":"on","backend":"b:1","size":1.0,"pod":0,"rackZone":1}},
@@ -48,7 +48,7 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(Host::default().batch(br#"{"nowMs":8412.25,"items":[]}"#).unwrap(), r#"{"output":[]}"#);
+    assert_eq!(Adapter::default().batch(br#"{"nowMs":8412.25,"items":[]}"#).unwrap(), r#"{"output":[]}"#);
 }
 
 #[test]
@@ -165,7 +165,7 @@
         (r#"{"nowMs":1,"items":[{"DEADLINE_HIT":{"relay":"relay/4","tag":1}}]}"#, "relay/4"),
         ("\u{fffd}", "expected"),
     ] {
-        let error = Host::default().batch(line.as_bytes()).expect_err(line).to_string();
+        let error = Adapter::default().batch(line.as_bytes()).expect_err(line).to_string();
         assert!(error.contains(word) && !error.contains('\n'), "{line}: {error}");
     }
 }
@@ -173,8 +173,8 @@
 #[test]
 fn settings_are_read_and_fall_back_to_a_safe_reading() {
     let read = settings(&serde_json::from_str(SETUP).unwrap());
-    assert_eq!((read.balancers, read.zone, read.most_tries), (2, ZoneId(1), 5));
-    assert!(read.discovery_on_request && read.reports && read.tells_delay && read.cancel);
+    assert_eq!((read.balancers, read.zone, read.max_attempts), (2, ZoneId(1), 5));
+    assert!(read.discovery_on_request && read.reports && read.reports_message_delay && read.cancel);
     assert_eq!(read.tenants[0].quota_connections, 4.0);
     assert_eq!(read.listed_weight, ListedWeight::Size);
     let odd =
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,9 +12,9 @@
         balancers: GATEWAYS,
         tenants,
         start_capacity: 0.12,
-        cold_ms: 24_000.0,
+        warm_up_ms: 24_000.0,
         overload_factor: 3.0,
-        fall_ms: SPAN_MS,
+        overload_span_ms: SPAN_MS,
         ..Settings::default()
     }
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,9 +1,9 @@
 //! A model of one connection's states on the platform's front, checked with random steps: whatever clients,
 //! members and the broker do, in whatever pieces, the front keeps to the protocol.
-use hopmoor::broker::{Command, Failure, Said};
+use hopmoor::broker::{Command, Failure, FrontEvent};
 use hopmoor::config::Site;
 use hopmoor::front::{Front, Input, Step};
-use hopmoor::platform::{Names, Session};
+use hopmoor::platform::{PlatformSettings, Session};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 enum Do {
     Client(Vec<u8>),
-    ClientEnd,
+    ClientEof,
     ClientReset,
     Open,
     Abandon,
@@ -22,9 +22,9 @@
     Move,
     Connected,
     Refused,
-    Server(Vec<u8>),
-    ServerEnd,
-    ServerReset,
+    Member(Vec<u8>),
+    MemberEof,
+    MemberReset,
     Wait(u16),
 }
 
@@ -68,7 +68,7 @@
         2 => prop_oneof![Just(b"tick\r\n".to_vec()), Just(OPEN[..20].to_vec()), Just(vec![0xff; 5_000])]
             .prop_map(Do::Client),
         2 => bad().prop_map(Do::Client),
-        1 => Just(Do::ClientEnd),
+        1 => Just(Do::ClientEof),
         1 => Just(Do::ClientReset),
         6 => Just(Do::Open),
         2 => Just(Do::Abandon),
@@ -77,9 +77,9 @@
         2 => Just(Do::Move),
         6 => Just(Do::Connected),
         1 => Just(Do::Refused),
-        6 => lines().prop_map(Do::Server),
-        1 => Just(Do::ServerEnd),
-        1 => Just(Do::ServerReset),
+        6 => lines().prop_map(Do::Member),
+        1 => Just(Do::MemberEof),
+        1 => Just(Do::MemberReset),
         2 => (1u16..6_000).prop_map(Do::Wait),
     ]
 }
@@ -101,16 +101,16 @@
     fn see(&mut self, step: Step) {
         assert!(!self.over, "{step:?} after the end");
         match step {
-            Step::Say(Said::Ask(ask)) => {
+            Step::Notify(FrontEvent::ClientRequest(ask)) => {
                 assert!(!std::mem::replace(&mut self.asked, true), "asked twice");
                 // With 15 ms one answer came too late on a busy machine.
                 assert!(ask.grace_ms <= 1_900.0, "no margin for the answer");
             }
-            Step::Say(Said::Up) => {
+            Step::Notify(FrontEvent::Up) => {
                 assert!(self.connected && !self.up);
                 self.up = true;
             }
-            Step::Say(Said::Ended(..)) => {
+            Step::Notify(FrontEvent::Ended(..)) => {
                 assert!(!(self.up && self.told_end), "an end told twice");
                 self.told_end = self.up;
             }
@@ -119,7 +119,7 @@
                 assert!(!std::mem::replace(&mut self.flow, true), "two flows out");
                 self.connected = false;
             }
-            Step::DropServer | Step::ResetServer => (self.flow, self.connected) = (false, false),
+            Step::CloseMember | Step::ResetMember => (self.flow, self.connected) = (false, false),
             Step::Finish | Step::ResetClient => self.over = true,
             _ => {}
         }
@@ -128,13 +128,13 @@
 
 fn play(steps: Vec<Do>) {
     let site = Site { classes: vec!["chat".into()], tenants: vec!["acme".into()], ..Site::default() };
-    let mut front = Session::new(0.0, Rc::new(Names::new(&site)));
+    let mut front = Session::new(0.0, Rc::new(PlatformSettings::new(&site)));
     let (mut model, mut now) = (Model::default(), 0.0);
     for step in steps {
         let sent;
         let input = match &step {
             Do::Client(bytes) if front.reads_client() => Input::Client(bytes),
-            Do::ClientEnd => Input::ClientEnd,
+            Do::ClientEof => Input::ClientEof,
             Do::ClientReset => Input::ClientReset,
             // The broker opens a flow, or answers, only while it is owed one.
             Do::Open if model.asked && !model.flow && !model.up => {
@@ -147,19 +147,19 @@
             Do::Move if model.up && !model.told_end => Input::Command(Command::Move),
             Do::Connected if model.flow && !model.connected && !model.up => {
                 model.connected = true;
-                front.take(now, Input::ServerOpen);
-                sent = std::mem::take(front.to_server());
+                front.take(now, Input::MemberConnected);
+                sent = std::mem::take(front.to_member());
                 let text = String::from_utf8(sent).unwrap();
                 assert_eq!(text, String::from_utf8_lossy(OPEN).replace("d=2000", "d=500"));
-                Input::ServerWritten
+                Input::MemberWritten
             }
-            Do::Refused if model.flow && !model.connected && !model.up => Input::ServerRefused,
-            Do::Server(bytes) if model.connected && front.reads_server() => {
+            Do::Refused if model.flow && !model.connected && !model.up => Input::MemberConnectFailed,
+            Do::Member(bytes) if model.connected && front.reads_member() => {
                 model.from_server.extend_from_slice(bytes);
-                Input::Server(bytes)
+                Input::Member(bytes)
             }
-            Do::ServerEnd if model.connected => Input::ServerEnd,
-            Do::ServerReset if model.connected => Input::ServerReset,
+            Do::MemberEof if model.connected => Input::MemberEof,
+            Do::MemberReset if model.connected => Input::MemberReset,
             Do::Wait(ms) => {
                 now += f64::from(*ms);
                 Input::Tick
@@ -169,7 +169,7 @@
         if matches!(input, Input::Command(Command::Open { .. })) {
             model.from_server.clear();
         }
-        if matches!(input, Input::ServerEnd | Input::ServerReset) {
+        if matches!(input, Input::MemberEof | Input::MemberReset) {
             model.connected = false;
         }
         front.take(now, input);
@@ -220,7 +220,7 @@
 
 fn session() -> Session {
     let site = Site { classes: vec!["chat".into()], tenants: vec!["acme".into()], ..Site::default() };
-    Session::new(0.0, Rc::new(Names::new(&site)))
+    Session::new(0.0, Rc::new(PlatformSettings::new(&site)))
 }
 
 fn said(front: &mut Session) -> Vec<Step> {
@@ -232,10 +232,10 @@
     front.take(0.0, Input::Client(OPEN));
     let open = Command::Open { dial: "127.0.0.1:9".into(), member: "a".into(), wait_ms: 500.0 };
     front.take(0.0, Input::Command(open));
-    front.take(0.0, Input::ServerOpen);
-    front.to_server().clear();
-    front.take(0.0, Input::ServerWritten);
-    front.take(1.0, Input::Server(b"UP 1\r\n"));
+    front.take(0.0, Input::MemberConnected);
+    front.to_member().clear();
+    front.take(0.0, Input::MemberWritten);
+    front.take(1.0, Input::Member(b"UP 1\r\n"));
     said(&mut front);
     front.to_client().clear();
     front
@@ -272,7 +272,7 @@
         front.take(0.0, Input::Client(bytes));
         let steps = said(&mut front);
         assert!(steps.contains(&Step::Finish) && steps.iter().any(|step| matches!(step, Step::Log { .. })));
-        assert!(front.to_client().starts_with(b"ERR ") && front.to_server().is_empty());
+        assert!(front.to_client().starts_with(b"ERR ") && front.to_member().is_empty());
     }
     let mut front = session();
     front.take(0.0, Input::Client(b"OPEN 1"));
@@ -286,8 +286,8 @@
     // A half command, then the end.
     let mut front = session();
     front.take(0.0, Input::Client(&OPEN[..30]));
-    front.take(1.0, Input::ClientEnd);
-    assert!(front.to_client().starts_with(b"ERR early close") && front.to_server().is_empty());
+    front.take(1.0, Input::ClientEof);
+    assert!(front.to_client().starts_with(b"ERR early close") && front.to_member().is_empty());
 }
 
 #[test]
@@ -304,14 +304,14 @@
 #[test]
 fn move_waits_for_the_end_of_a_line_and_not_for_ever() {
     let mut front = up();
-    front.take(2.0, Input::Server(b"half"));
+    front.take(2.0, Input::Member(b"half"));
     front.take(3.0, Input::Command(Command::Move));
     assert_eq!(front.to_client(), b"half");
-    front.take(4.0, Input::Server(b" line\r\nnext"));
+    front.take(4.0, Input::Member(b" line\r\nnext"));
     assert_eq!(front.to_client(), b"half line\r\nMOVE\r\n");
     assert_eq!(said(&mut front).last(), Some(&Step::Finish));
     let mut front = up();
-    front.take(2.0, Input::Server(b"half"));
+    front.take(2.0, Input::Member(b"half"));
     front.take(3.0, Input::Command(Command::Move));
     front.take(400.0, Input::Tick);
     assert_eq!(front.to_client(), b"half\r\nMOVE\r\n");
@@ -325,26 +325,26 @@
     assert!(due <= 7_000.0);
     front.take(due, Input::Tick);
     assert_eq!(front.to_client(), b"MOVE\r\n");
-    assert!(said(&mut front).iter().any(|step| matches!(step, Step::Say(Said::Ended(..)))));
+    assert!(said(&mut front).iter().any(|step| matches!(step, Step::Notify(FrontEvent::Ended(..)))));
 }
 
 #[test]
 fn ends_pass_on_as_they_came() {
     let mut front = up();
-    front.take(2.0, Input::ServerEnd);
-    assert!(said(&mut front).contains(&Step::EndClient));
+    front.take(2.0, Input::MemberEof);
+    assert!(said(&mut front).contains(&Step::ShutdownClient));
     front.take(3.0, Input::Client(b"last\r\n"));
-    assert_eq!(front.to_server(), b"last\r\n", "the other direction goes on");
+    assert_eq!(front.to_member(), b"last\r\n", "the other direction goes on");
     front.take(1_000.0, Input::Tick);
     assert_eq!(said(&mut front), [Step::Finish]);
     let mut front = up();
-    front.take(2.0, Input::ServerReset);
+    front.take(2.0, Input::MemberReset);
     assert_eq!(said(&mut front).last(), Some(&Step::ResetClient));
     let mut front = up();
-    front.take(2.0, Input::ClientEnd);
-    assert!(said(&mut front).contains(&Step::EndServer));
-    front.take(3.0, Input::Server(b"BYE\r\n"));
-    front.take(3.0, Input::ServerEnd);
-    let ok = |step: &Step| matches!(step, Step::Say(Said::Ended(hopmoor::Outcome::Ok, None)));
+    front.take(2.0, Input::ClientEof);
+    assert!(said(&mut front).contains(&Step::ShutdownMember));
+    front.take(3.0, Input::Member(b"BYE\r\n"));
+    front.take(3.0, Input::MemberEof);
+    let ok = |step: &Step| matches!(step, Step::Notify(FrontEvent::Ended(hopmoor::Outcome::Ok, None)));
     assert!(said(&mut front).iter().any(ok));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,7 @@
 use hopmoor::*;
 
 fn settings() -> Settings {
-    Settings { tick_ms: 5.0, cancel: true, max_retry_after_ms: 500.0, most_tries: 4, ..Settings::default() }
+    Settings { tick_ms: 5.0, cancel: true, max_retry_after_ms: 500.0, max_attempts: 4, ..Settings::default() }
 }
 
 fn class(effect: Effect) -> Settings {
@@ -69,7 +69,7 @@
 fn a_client_that_left_gets_nothing_more() {
     let mut relay = Relay::with(settings(), [backend(1)]);
     let place = sent_to(&relay.ask(request(1))).unwrap();
-    let actions = relay.give(Event::Departed { id: RequestId(1) });
+    let actions = relay.give(Event::ClientGone { id: RequestId(1) });
     assert!(matches!(actions[..], [Action::CancelAttempt { id: RequestId(1), attempt: 0 }]));
     assert!(relay.end(1, place, Outcome::Cancelled, false).is_empty());
     relay.run(5_000.0);
@@ -186,9 +186,9 @@
     let settings = Settings {
         balancers: 40,
         start_capacity: 0.2,
-        cold_ms: 20_000.0,
+        warm_up_ms: 20_000.0,
         overload_factor: 2.5,
-        fall_ms: 1_000.0,
+        overload_span_ms: 1_000.0,
         ..settings()
     };
     let mut sends: Vec<f64> = Vec::new();
@@ -221,7 +221,7 @@
 #[test]
 fn a_backend_back_from_an_absence_is_taken_for_cold() {
     let mut relay = Relay::with(
-        Settings { cold_ms: 20_000.0, start_capacity: 0.1, ..settings() },
+        Settings { warm_up_ms: 20_000.0, start_capacity: 0.1, ..settings() },
         [backend(1), backend(2)],
     );
     for id in 0..20 {
@@ -253,10 +253,10 @@
 fn odd_input_is_survived() {
     let odd = Settings {
         classes: vec![Class { aim_ms: f64::NAN, worth: f64::NAN, ..Class::default() }],
-        cold_ms: 0.0,
-        fall_ms: 0.0,
+        warm_up_ms: 0.0,
+        overload_span_ms: 0.0,
         balancers: 0,
-        most_tries: 0,
+        max_attempts: 0,
         ..settings()
     };
     let mut relay = Relay::with(
@@ -264,7 +264,7 @@
         [BackendInfo { weight: f64::NAN, ..backend(1) }, BackendInfo { weight: 0.0, ..backend(2) }],
     );
     relay.give(Event::Established { id: RequestId(9), took_ms: 1.0 });
-    relay.give(Event::Departed { id: RequestId(9) });
+    relay.give(Event::ClientGone { id: RequestId(9) });
     relay.end(9, BackendId(7), Outcome::Reset, true);
     relay.give(Event::Timer(TimerId(u64::MAX)));
     relay.give(Event::LoadChanged { id: RequestId(1), load: f64::NAN });
@@ -374,7 +374,7 @@
 /// attempts and one connection a second that stands, a cold backend still gets next to nothing.
 #[test]
 fn failed_attempts_do_not_open_the_gate_of_a_cold_backend() {
-    let cold = Settings { start_capacity: 0.14, cold_ms: 23_000.0, overload_factor: 2.5, ..settings() };
+    let cold = Settings { start_capacity: 0.14, warm_up_ms: 23_000.0, overload_factor: 2.5, ..settings() };
     let mut sends = 0;
     for seed in 0..20 {
         let mut relay = Relay::new(cold.clone(), seed);
@@ -410,8 +410,8 @@
     let settings = Settings {
         tenants,
         start_capacity: 0.12,
-        cold_ms: 24_000.0,
-        fall_ms: 3_000.0,
+        warm_up_ms: 24_000.0,
+        overload_span_ms: 3_000.0,
         overload_factor: 3.0,
         ..settings()
     };
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -5,7 +5,13 @@
 
 fn settings() -> Settings {
     let classes = vec![Class { message_aim_ms: 50.0, ..Class::default() }];
-    Settings { classes, tells_delay: true, tick_ms: 5.0, max_retry_after_ms: 500.0, ..Settings::default() }
+    Settings {
+        classes,
+        reports_message_delay: true,
+        tick_ms: 5.0,
+        max_retry_after_ms: 500.0,
+        ..Settings::default()
+    }
 }
 
 fn note(relay: &mut Relay, backend: BackendId, took_ms: f64) {
--- a/tests/xmpp_front.rs
+++ b/tests/xmpp_front.rs
@@ -1,8 +1,8 @@
 //! The XMPP front by itself, on a clock of its own: who may take over, and what each end looks like.
 use hopmoor::Outcome;
-use hopmoor::broker::{Command, Failure, Said};
+use hopmoor::broker::{Command, Failure, FrontEvent};
 use hopmoor::front::{Front, Input, Step};
-use hopmoor::xmpp::{Realm, Session};
+use hopmoor::xmpp::{Session, XmppSettings};
 use std::rc::Rc;
 
 const HEADER: &str = "<stream:stream to='chat.example' xmlns='jabber:client' \
@@ -17,10 +17,10 @@
 }
 
 fn stream() -> Stream {
-    let realm = Realm {
+    let realm = XmppSettings {
         services: vec![("chat.example".into(), 4_000.0)],
         teams: vec![vec!["kiln.example".into()]],
-        listener_team: Some(0),
+        default_team: Some(0),
         stanza_bytes: 10_000,
         see_other: "127.0.0.1:5222".into(),
     };
@@ -36,13 +36,13 @@
     }
 
     fn server(&mut self, text: &str) {
-        self.take(Input::Server(text.as_bytes()));
+        self.take(Input::Member(text.as_bytes()));
     }
 
     fn open(&mut self) {
         let open = Command::Open { dial: "127.0.0.1:9".into(), member: "a".into(), wait_ms: 500.0 };
         self.take(Input::Command(open));
-        self.take(Input::ServerOpen);
+        self.take(Input::MemberConnected);
     }
 
     fn client_sees(&mut self) -> String {
@@ -50,11 +50,11 @@
     }
 
     fn member_sees(&mut self) -> String {
-        String::from_utf8(std::mem::take(self.front.to_server())).unwrap()
+        String::from_utf8(std::mem::take(self.front.to_member())).unwrap()
     }
 
-    fn said(&self, said: &Said) -> bool {
-        self.steps.contains(&Step::Say(said.clone()))
+    fn said(&self, said: &FrontEvent) -> bool {
+        self.steps.contains(&Step::Notify(said.clone()))
     }
 }
 
@@ -66,17 +66,17 @@
     stream.server(&format!(
         "{REPLY}<stream:error><resource-constraint xmlns='urn:ietf:params:xml:ns:xmpp-streams'/></stream:error>"
     ));
-    assert!(stream.said(&Said::Ended(Outcome::Full, None)) && !stream.said(&Said::Committed));
+    assert!(stream.said(&FrontEvent::Ended(Outcome::Full, None)) && !stream.said(&FrontEvent::Committed));
     assert_eq!(stream.client_sees(), "");
-    stream.front.to_server().clear();
+    stream.front.to_member().clear();
     stream.open();
     assert_eq!(stream.member_sees(), HEADER, "the whole opening again");
     let features = "<stream:features/>";
     stream.server(&format!("{REPLY}{features}"));
     assert_eq!(stream.client_sees(), format!("{REPLY}{features}"));
-    assert!(stream.said(&Said::Committed) && !stream.said(&Said::Up));
+    assert!(stream.said(&FrontEvent::Committed) && !stream.said(&FrontEvent::Up));
     stream.server(BOUND);
-    assert!(stream.said(&Said::Up));
+    assert!(stream.said(&FrontEvent::Up));
 }
 
 #[test]
@@ -106,7 +106,7 @@
     stream.client_sees();
     let error = "<stream:error><system-shutdown xmlns='urn:ietf:params:xml:ns:xmpp-streams'/></stream:error>";
     stream.server(error);
-    assert!(stream.said(&Said::Ended(Outcome::Cancelled, None)));
+    assert!(stream.said(&FrontEvent::Ended(Outcome::Cancelled, None)));
     stream.take(Input::Command(Command::Fail(Failure::Broken)));
     assert_eq!(stream.client_sees(), format!("{error}</stream:stream>"));
 }
@@ -118,7 +118,7 @@
     stream.member_sees();
     stream.take(Input::Command(Command::Abandon));
     assert_eq!(stream.member_sees(), "</stream:stream>");
-    assert_eq!(stream.steps.last(), Some(&Step::DropServer));
+    assert_eq!(stream.steps.last(), Some(&Step::CloseMember));
     stream.open();
     stream.member_sees();
     stream.take(Input::Client(b"<starttls xmlns='urn:ietf:params:xml:ns:xmpp-tls'/>"));
@@ -126,12 +126,12 @@
         stream.client_sees().ends_with("<failure xmlns='urn:ietf:params:xml:ns:xmpp-tls'/></stream:stream>")
     );
     assert_eq!(stream.member_sees(), "</stream:stream>");
-    assert!(stream.said(&Said::Left));
+    assert!(stream.said(&FrontEvent::Left));
 }
 
 #[test]
 fn a_silent_client_is_told_so() {
-    let realm = Realm { stanza_bytes: 10_000, ..Realm::default() };
+    let realm = XmppSettings { stanza_bytes: 10_000, ..XmppSettings::default() };
     let mut front = Session::new(0.0, Rc::new(realm));
     let due = front.due().unwrap();
     // Owed within 3 s of connecting; a header that drips in does not put it off.
