--- a/src/admin.rs
+++ b/src/admin.rs
@@ -176,12 +176,12 @@
 
 /// Builds the JSON response that shows the node's drain request and permit. A voter adds what its Raft log holds:
 /// leader, term, index, budgets and all permits.
-pub fn permits_response(name: &str, part: &Part) -> Vec<u8> {
+pub fn permits_response(name: &str, participant: &Part) -> Vec<u8> {
     let mut body = json!({
-        "node": name, "asks": part.asking().told(), "permit": part.asking().fence(), "votes": part.voter().is_some(),
-        "silent": part.silent(),
+        "node": name, "asks": participant.asking().told(), "permit": participant.asking().fence(), "votes": participant.voter().is_some(),
+        "silent": participant.silent(),
     });
-    if let Some(voter) = part.voter() {
+    if let Some(voter) = participant.voter() {
         let state = voter.state();
         let budget = |(scope, most): (&Scope, Most)| {
             let most = match most {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The hopmoor node: command line.
 
 use hopmoor::config;
-use hopmoor::net::{self, LogFormat, Speaks};
+use hopmoor::net::{self, FrontConfig, LogFormat};
 use hopmoor::operator::{self, Front};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -129,18 +129,18 @@
         return usage("neither --config, --operator nor NODE_CONFIG names a file");
     };
     let read = match operator {
-        None => config::read(&file).map(|config| (config, Speaks::Platform(file.clone()))),
+        None => config::read(&file).map(|config| (config, FrontConfig::Platform(file.clone()))),
         Some(_) => operator::read(&file).map(|found| match found.front {
-            Front::Platform(config) => (found.config, Speaks::Platform(config)),
-            Front::Xmpp(realm, inventory) => (found.config, Speaks::Xmpp(realm, inventory)),
+            Front::Platform(config) => (found.config, FrontConfig::Platform(config)),
+            Front::Xmpp(realm, inventory) => (found.config, FrontConfig::Xmpp(realm, inventory)),
         }),
     };
-    let read = read.and_then(|(mut config, speaks)| {
+    let read = read.and_then(|(mut config, front_config)| {
         // What is not Unicode is no address and no number either, and is refused as such.
         config.take_environment(|name| Some(std::env::var_os(name)?.to_string_lossy().into_owned()))?;
-        Ok((config, speaks))
+        Ok((config, front_config))
     });
-    let (config, speaks) = match read {
+    let (config, front_config) = match read {
         Ok(read) => read,
         Err(error) => {
             eprintln!("hopmoor: {error}");
@@ -153,7 +153,7 @@
     }
     let clock = net::Clock::new();
     let (log, _written_at_the_end) = net::logger(format, &config.name, clock.incarnation());
-    match net::serve(config, speaks, clock, log.clone()) {
+    match net::serve(config, front_config, clock, log.clone()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             slog::error!(log, "node ended"; "error" => %error);
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -30,7 +30,7 @@
 /// This node's side of the agreement.
 pub(super) struct Agreement {
     folder: PathBuf,
-    part: RefCell<Part>,
+    participant: RefCell<Part>,
     wake: Notify,
 }
 
@@ -41,8 +41,12 @@
         // Below warnings raft logs each vote and append, which is of use only when debugging raft itself.
         let log = slog::LevelFilter::new(log.clone(), slog::Level::Warning).fuse();
         let log = slog::Logger::root(log, slog::o!("part" => "raft"));
-        let part = Part::new(name, &config.voters, u64::from_le_bytes(random_bytes()?), log);
-        Ok(Agreement { folder: config.folder.clone(), part: RefCell::new(part), wake: Notify::new() })
+        let participant = Part::new(name, &config.voters, u64::from_le_bytes(random_bytes()?), log);
+        Ok(Agreement {
+            folder: config.folder.clone(),
+            participant: RefCell::new(participant),
+            wake: Notify::new(),
+        })
     }
 
     /// Wakes the task that handles received messages.
@@ -56,26 +60,26 @@
         if standing == Err(Unready::Ending) {
             return admin::response(409, "", "the node ends\n");
         }
-        let mut part = self.part.borrow_mut();
+        let mut participant = self.participant.borrow_mut();
         match random_bytes() {
-            Ok(number) => part.ask(u128::from_le_bytes(number)),
+            Ok(number) => participant.ask(u128::from_le_bytes(number)),
             Err(error) => return admin::response(503, "", &format!("{error}\n")),
         }
         self.wake.notify_one();
-        let status_text = part.asking().told().unwrap_or_default();
+        let status_text = participant.asking().told().unwrap_or_default();
         let status = if standing == Err(Unready::Draining) { 200 } else { 202 };
         admin::response(status, "", &format!("{status_text}\n"))
     }
 
     /// Handles an operator's resume command: returns the permit, or withdraws the request for one.
     pub(super) fn resume(&self) {
-        self.part.borrow_mut().give_back();
+        self.participant.borrow_mut().give_back();
         self.wake.notify_one();
     }
 
     /// Proposes a drain budget; it is in force once the log has committed it.
     pub(super) fn set_budget(&self, scope: Scope, most: Most) -> Vec<u8> {
-        let proposed = self.part.borrow_mut().set_budget(&Entry::Budget(scope, most));
+        let proposed = self.participant.borrow_mut().set_budget(&Entry::Budget(scope, most));
         self.wake.notify_one();
         match proposed {
             true => admin::response(202, "", "asked; /-/permits shows it once it is agreed\n"),
@@ -85,7 +89,7 @@
 
     /// Builds the response of the permits endpoint.
     pub(super) fn permits(&self, name: &str) -> Vec<u8> {
-        admin::permits_response(name, &self.part.borrow())
+        admin::permits_response(name, &self.participant.borrow())
     }
 }
 
@@ -97,13 +101,13 @@
 
 /// Runs the agreement until the fleet link is closed.
 pub(super) async fn run(node: Rc<Node>, link: Rc<Link>, agree: Rc<Agreement>) {
-    let part = &agree.part;
-    let is_voter = part.borrow().is_to_vote();
+    let participant = &agree.participant;
+    let is_voter = participant.borrow().is_to_vote();
     let folder = if is_voter { open_folder(&node, &link, &agree).await } else { None };
     if let Some(folder) = &folder {
         match folder.read() {
-            Ok(found) => part.borrow_mut().opened(found),
-            Err(error) => part.borrow_mut().stop(&error.to_string()),
+            Ok(found) => participant.borrow_mut().opened(found),
+            Err(error) => participant.borrow_mut().stop(&error.to_string()),
         }
     }
     let mut ticks = tokio::time::interval(Duration::from_millis(TICK_MS));
@@ -115,17 +119,17 @@
             () = agree.wake.notified() => false,
         };
         let now = node.clock.now() as u64;
-        part.borrow_mut().due(now, link.id().incarnation);
+        participant.borrow_mut().due(now, link.id().incarnation);
         while let Some((from, bytes)) = link.next_user_message() {
-            part.borrow_mut().message(&from, &bytes);
+            participant.borrow_mut().message(&from, &bytes);
         }
         if is_tick {
-            part.borrow_mut().tick(now);
+            participant.borrow_mut().tick(now);
         }
-        if now >= next_view_ms && part.borrow().wants_view() {
+        if now >= next_view_ms && participant.borrow().wants_view() {
             next_view_ms = now + VIEW_INTERVAL_MS;
             let seen_nodes = membership::seen_nodes(&link.view(&node));
-            part.borrow_mut().sees(&seen_nodes);
+            participant.borrow_mut().sees(&seen_nodes);
         }
         execute_orders(&node, &link, &agree, folder.as_ref()).await;
         log_notes(&node, &agree);
@@ -134,7 +138,7 @@
 
 /// Logs the notes of the agreement.
 fn log_notes(node: &Node, agree: &Agreement) {
-    while let Some(note) = agree.part.borrow_mut().note() {
+    while let Some(note) = agree.participant.borrow_mut().note() {
         match note {
             Note::Votes { term } => info!(node.log, "voting on drains"; "term" => term),
             Note::Silent(why) => warn!(node.log, "not voting on drains"; "why" => why),
@@ -148,7 +152,7 @@
         match Folder::open(&agree.folder) {
             Ok(folder) => return Some(Arc::new(folder)),
             Err(_) if link.is_closed() => return None,
-            Err(error) => agree.part.borrow_mut().stop(&error.to_string()),
+            Err(error) => agree.participant.borrow_mut().stop(&error.to_string()),
         }
         log_notes(node, agree);
         tokio::time::sleep(FOLDER_RETRY_INTERVAL).await;
@@ -158,9 +162,9 @@
 
 /// Executes the queued orders of the agreement, then those of the fleet link.
 async fn execute_orders(node: &Rc<Node>, link: &Rc<Link>, agree: &Agreement, folder: Option<&Arc<Folder>>) {
-    let part = &agree.part;
+    let participant = &agree.participant;
     loop {
-        let Some(order) = part.borrow_mut().order() else { break };
+        let Some(order) = participant.borrow_mut().order() else { break };
         match (order, folder) {
             (Order::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
             (Order::Drain(permit), _) => {
@@ -174,8 +178,8 @@
                 let done = tokio::task::spawn_blocking(move || folder.found(&founders)).await;
                 match done.map_err(|error| error.to_string()).and_then(|done| done.map_err(|e| e.to_string()))
                 {
-                    Ok(()) => part.borrow_mut().founded(),
-                    Err(error) => part.borrow_mut().stop(&error),
+                    Ok(()) => participant.borrow_mut().founded(),
+                    Err(error) => participant.borrow_mut().stop(&error),
                 }
             }
             (Order::Keep(work), Some(folder)) => {
@@ -186,11 +190,11 @@
                 let done = tokio::task::spawn_blocking(move || folder.keep(&work)).await;
                 match done.map_err(|error| error.to_string()).and_then(|done| done.map_err(|e| e.to_string()))
                 {
-                    Ok(()) => part.borrow_mut().kept(),
-                    Err(error) => part.borrow_mut().stop(&error),
+                    Ok(()) => participant.borrow_mut().kept(),
+                    Err(error) => participant.borrow_mut().stop(&error),
                 }
             }
-            (Order::Found(_) | Order::Keep(_), None) => part.borrow_mut().stop("it has no folder"),
+            (Order::Found(_) | Order::Keep(_), None) => participant.borrow_mut().stop("it has no folder"),
         }
     }
     super::fleet::execute_orders(node, link);
--- a/src/net/descriptors/tests.rs
+++ b/src/net/descriptors/tests.rs
@@ -13,126 +13,132 @@
         Fixture { descriptors: DescriptorBudget::new(sockets), now: 0.0, next: 0, commands: BTreeMap::new() }
     }
 
-    fn enter(&mut self) -> Option<TransactionId> {
+    fn admit(&mut self) -> Option<TransactionId> {
         self.next += 1;
         self.now += 1.0;
         let id = crate::RequestId(self.next);
         let (send, receive) = unbounded_channel();
         self.commands.insert(id, receive);
-        self.descriptors.enter(self.now, id, send).0.then_some(id)
+        self.descriptors.admit(self.now, id, send).0.then_some(id)
     }
 
-    fn told(&mut self, id: TransactionId) -> Option<Command> {
+    fn next_command(&mut self, id: TransactionId) -> Option<Command> {
         self.commands.get_mut(&id)?.try_recv().ok()
     }
 }
 
-/// Guards against hundreds of silent clients: at 256 descriptors they held all 96 descriptors for 10 s.
+/// Guards against hundreds of silent clients that block real ones: with a limit of 256 they once held all 96
+/// descriptors for 10 s.
 #[test]
-fn silent_clients_never_keep_a_real_one_out() {
+fn silent_clients_never_block_real_ones() {
     let mut fixture = Fixture::new(256);
-    let silent: Vec<_> = (0..600).filter_map(|_| fixture.enter()).collect();
-    assert_eq!(silent.len(), 600, "each is taken in, and the oldest gives way");
-    assert_eq!(fixture.told(silent[0]), Some(Command::Reject(FULL_MS)));
-    assert!(fixture.descriptors.held <= 256 - BASE);
-    // A third of the descriptors for real clients, with silent ones among them.
+    let silent: Vec<_> = (0..600).filter_map(|_| fixture.admit()).collect();
+    assert_eq!(silent.len(), 600, "each is admitted, and the oldest is evicted");
+    assert_eq!(fixture.next_command(silent[0]), Some(Command::Reject(NO_ROOM_RETRY_MS)));
+    assert!(fixture.descriptors.held <= 256 - BASE_DESCRIPTORS);
+    // 85 real clients, a third of the limit, with silent clients connecting between them.
     for _ in 0..85 {
-        let id = fixture.enter().unwrap();
+        let id = fixture.admit().unwrap();
         assert!(fixture.descriptors.open(fixture.now, id).0);
-        assert!(fixture.enter().is_some());
+        assert!(fixture.admit().is_some());
     }
-    assert!(fixture.descriptors.held <= 256 - BASE);
+    assert!(fixture.descriptors.held <= 256 - BASE_DESCRIPTORS);
 }
 
-/// A client that takes two seconds over its first line is beside thousands that stop half way, or say nothing; and
-/// one whose line is a millisecond behind its connection is not the first to go.
+/// A client that takes two seconds to write its first line is kept, among thousands of clients that stop half way or
+/// stay silent. A client whose line arrives a millisecond after its connection is not evicted either.
 #[test]
-fn one_that_writes_on_stays_and_one_that_has_stopped_goes() {
+fn slow_writers_are_kept_and_stalled_clients_evicted() {
     let mut fixture = Fixture::new(128);
-    let slow = fixture.enter().unwrap();
+    let slow = fixture.admit().unwrap();
     for at in 0..2_000 {
         if at % 200 == 0 {
-            fixture.descriptors.wrote(fixture.now, slow);
+            fixture.descriptors.received_bytes(fixture.now, slow);
         }
-        let other = fixture.enter().unwrap();
-        assert_eq!(fixture.told(other), None);
+        let other = fixture.admit().unwrap();
+        assert_eq!(fixture.next_command(other), None);
         if at % 2 == 0 {
-            fixture.descriptors.wrote(fixture.now, other);
+            fixture.descriptors.received_bytes(fixture.now, other);
         }
-        let quick = fixture.enter().unwrap();
-        assert_eq!((fixture.told(slow), fixture.told(quick)), (None, None));
+        let quick = fixture.admit().unwrap();
+        assert_eq!((fixture.next_command(slow), fixture.next_command(quick)), (None, None));
         assert!(fixture.descriptors.open(fixture.now, quick).0);
-        fixture.descriptors.leave(quick);
+        fixture.descriptors.release(quick);
     }
     assert!(fixture.descriptors.open(fixture.now, slow).0);
 }
 
 #[test]
-fn open_ones_stay_and_others_give_way_until_none_is_left() {
+fn open_transactions_are_kept_and_others_evicted() {
     let mut fixture = Fixture::new(64);
     let mut open = Vec::new();
-    while let Some(id) = fixture.enter() {
+    while let Some(id) = fixture.admit() {
         if !fixture.descriptors.open(fixture.now, id).0 {
             break;
         }
         open.push(id);
     }
-    assert_eq!(open.len(), (64 - BASE) / 2);
-    assert!(open.iter().all(|id| fixture.told(*id).is_none()));
-    fixture.descriptors.leave(open[0]);
-    assert!(fixture.enter().is_some());
+    assert_eq!(open.len(), (64 - BASE_DESCRIPTORS) / 2);
+    assert!(open.iter().all(|id| fixture.next_command(*id).is_none()));
+    fixture.descriptors.release(open[0]);
+    assert!(fixture.admit().is_some());
 }
 
 #[test]
-fn lingering_ones_are_bounded_and_give_way_first() {
+fn lingering_closes_are_bounded_and_evicted_first() {
     let mut fixture = Fixture::new(256);
     for _ in 0..100 {
-        let id = fixture.enter().unwrap();
+        let id = fixture.admit().unwrap();
         fixture.descriptors.linger(id);
     }
-    assert_eq!((fixture.descriptors.held, fixture.descriptors.lingering.len()), (256 / PART, 256 / PART));
+    assert_eq!(
+        (fixture.descriptors.held, fixture.descriptors.lingering.len()),
+        (256 / SHARE_DIVISOR, 256 / SHARE_DIVISOR)
+    );
     let first = fixture.commands.values_mut().next().unwrap();
     assert!(matches!(first.try_recv(), Err(tokio::sync::mpsc::error::TryRecvError::Disconnected)));
     let ids: Vec<_> = fixture.descriptors.lingering.iter().copied().collect();
-    ids.into_iter().for_each(|id| fixture.descriptors.leave(id));
+    ids.into_iter().for_each(|id| fixture.descriptors.release(id));
     assert_eq!((fixture.descriptors.held, fixture.descriptors.is_empty()), (0, true));
 }
 
-/// What ends a probe that never ends by itself.
-fn endless(runtime: &tokio::runtime::Runtime) -> AbortHandle {
+/// The abort handle of a probe that never ends by itself.
+fn endless_task(runtime: &tokio::runtime::Runtime) -> AbortHandle {
     runtime.spawn(std::future::pending::<()>()).abort_handle()
 }
 
-/// Guards against probes that hold what clients need: they count, hold a part of all, and give way to each client.
+/// Guards against probes that hold descriptors that clients need: probes are counted, limited to a share of all
+/// descriptors, and evicted for clients.
 #[test]
-fn probes_count_and_give_way_to_clients() {
+fn probes_are_counted_and_evicted_for_clients() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
-    let mut fixture = Fixture::new(BASE + 20);
-    let most = fixture.descriptors.few;
-    assert!((2..10).contains(&most));
-    for member in 0..most as u64 {
+    let mut fixture = Fixture::new(BASE_DESCRIPTORS + 20);
+    let limit = fixture.descriptors.share_limit;
+    assert!((2..10).contains(&limit));
+    for member in 0..limit as u64 {
         assert!(fixture.descriptors.may_probe(0.0).0);
-        fixture.descriptors.probe_began(BackendId(member), endless(&runtime));
+        fixture.descriptors.probe_started(BackendId(member), endless_task(&runtime));
     }
-    assert!(!fixture.descriptors.may_probe(0.0).0, "probes hold no more than their part");
+    assert!(!fixture.descriptors.may_probe(0.0).0, "probes hold no more than their share");
     for _ in 0..20 {
-        assert!(fixture.enter().is_some());
+        assert!(fixture.admit().is_some());
     }
     let Usage { pending, probes, .. } = fixture.descriptors.usage();
-    assert_eq!((pending, probes), (20, 0), "each probe gave way, and no client that had just come");
+    assert_eq!((pending, probes), (20, 0), "each probe was evicted, and no client that had just connected");
 }
 
-/// Guards against clients turned away for a probe before their line was read: `at=` connections were lost so.
+/// Guards against rejecting clients for a probe before their line is read. Connections adopted from before the run
+/// (`at=` lines) were lost that way.
 #[test]
-fn a_client_gives_way_to_a_probe_only_after_its_grace() {
-    let mut fixture = Fixture::new(BASE + 10);
-    let first = fixture.enter().unwrap();
-    while fixture.descriptors.held < fixture.descriptors.most {
-        fixture.enter().unwrap();
+fn a_client_is_evicted_for_a_probe_only_after_its_grace() {
+    let mut fixture = Fixture::new(BASE_DESCRIPTORS + 10);
+    let first = fixture.admit().unwrap();
+    while fixture.descriptors.held < fixture.descriptors.capacity {
+        fixture.admit().unwrap();
     }
     let now = fixture.now;
-    assert_eq!(fixture.descriptors.may_probe(now), (false, GaveWay::default()));
-    let (may, gave_way) = fixture.descriptors.may_probe(1.0 + GRACE_MS + 0.5);
-    assert_eq!((may, gave_way.clients), (true, 1));
-    assert_eq!(fixture.told(first), Some(Command::Reject(FULL_MS)));
+    assert_eq!(fixture.descriptors.may_probe(now), (false, Evicted::default()));
+    let (may, evicted) = fixture.descriptors.may_probe(1.0 + IDLE_GRACE_MS + 0.5);
+    assert_eq!((may, evicted.clients), (true, 1));
+    assert_eq!(fixture.next_command(first), Some(Command::Reject(NO_ROOM_RETRY_MS)));
 }
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -402,10 +402,10 @@
     link.wake.notify_one();
 }
 
-/// Handles the start of shutdown. In an upgrade (`passed`) the link is closed without a leave message: the new process
+/// Handles the start of shutdown. In an upgrade (`listener_passed`) the link is closed without a leave message: the new process
 /// takes over port and name, so the node stays in the fleet. Otherwise the new status is announced.
-pub(super) fn begin_shutdown(node: &Rc<Node>, passed: bool) {
-    if passed {
+pub(super) fn begin_shutdown(node: &Rc<Node>, listener_passed: bool) {
+    if listener_passed {
         if let Some(link) = node.fleet.borrow_mut().take() {
             link.closed.set(true);
             link.wake.notify_one();
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,45 +1,45 @@
-//! Log lines go to standard error through a thread of their own, so that they never hold up the loop.
+//! Logging to standard error on a thread of its own, so that it never blocks the event loop.
 
 use crate::api::Millis;
 use slog::{Drain, Logger, o};
 use std::str::FromStr;
 
-/// Lines that may wait; what comes on top is dropped, and counted in the log.
-const WAITING: usize = 8_192;
+/// Maximum number of queued lines; further ones are dropped, and their number is logged.
+const MAX_QUEUED_LINES: usize = 8_192;
 
-/// Lines about bad input that are written in a second.
-const A_SECOND: u32 = 20;
+/// Maximum number of lines about bad input per second.
+const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Lets so many lines a second pass and counts the others: guards against attacks that fill the log.
+/// Rate limit for lines about bad input; counts the suppressed ones. Guards against attacks that fill the log.
 #[derive(Default)]
-pub(super) struct Gate {
-    began: Millis,
-    passed: u32,
-    held: u64,
+pub(super) struct LogRateLimit {
+    second_began: Millis,
+    written: u32,
+    suppressed: u64,
 }
 
-impl Gate {
-    /// Whether a line may pass now, and how many were held back before it.
-    pub(super) fn pass(&mut self, now: Millis) -> (bool, u64) {
-        if now - self.began >= 1_000.0 {
-            (self.began, self.passed) = (now, 0);
+impl LogRateLimit {
+    /// Whether a line may be written now, and how many were suppressed before it.
+    pub(super) fn allow(&mut self, now: Millis) -> (bool, u64) {
+        if now - self.second_began >= 1_000.0 {
+            (self.second_began, self.written) = (now, 0);
         }
-        if self.passed >= A_SECOND {
-            self.held += 1;
+        if self.written >= MAX_LINES_PER_SECOND {
+            self.suppressed += 1;
             return (false, 0);
         }
-        self.passed += 1;
-        (true, std::mem::take(&mut self.held))
+        self.written += 1;
+        (true, std::mem::take(&mut self.suppressed))
     }
 }
 
-/// How lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text, for people.
     #[default]
     Text,
-    /// One JSON object a line, with node, incarnation and the time in RFC 3339, for those who gather many nodes' lines.
+    /// One JSON object per line, with node, incarnation and RFC 3339 time, for collecting the logs of many nodes.
     Json,
 }
 
@@ -55,34 +55,35 @@
     }
 }
 
-/// The program's log, and a guard that writes out what still waits when it is dropped.
+/// Creates the program's log, and a guard that flushes queued lines when it is dropped.
 pub fn logger(format: LogFormat, node: &str, incarnation: u64) -> (Logger, slog_async::AsyncGuard) {
     match format {
         LogFormat::Text => {
             let decorator = slog_term::PlainDecorator::new(std::io::stderr());
             let drain =
                 slog_term::FullFormat::new(decorator).use_utc_timestamp().use_original_order().build();
-            through_a_thread(drain.fuse(), o!())
+            async_logger(drain.fuse(), o!())
         }
         LogFormat::Json => {
             let drain = slog_json::Json::default(std::io::stderr());
-            let of = o!("node" => node.to_owned(), "incarnation" => incarnation);
-            // Json is not Sync on its own; one thread writes.
-            through_a_thread(std::sync::Mutex::new(drain).fuse(), of)
+            let values = o!("node" => node.to_owned(), "incarnation" => incarnation);
+            // `Json` is not `Sync`; the mutex is never contended, as one thread writes.
+            async_logger(std::sync::Mutex::new(drain).fuse(), values)
         }
     }
 }
 
-fn through_a_thread<D, T>(drain: D, of: slog::OwnedKV<T>) -> (Logger, slog_async::AsyncGuard)
+/// Puts a thread and a bounded queue before a drain; `values` are added to each line.
+fn async_logger<D, T>(drain: D, values: slog::OwnedKV<T>) -> (Logger, slog_async::AsyncGuard)
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
     T: slog::SendSyncRefUnwindSafeKV + 'static,
 {
     let (drain, guard) = slog_async::Async::new(drain)
-        .chan_size(WAITING)
+        .chan_size(MAX_QUEUED_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
-    (Logger::root(drain.fuse(), of), guard)
+    (Logger::root(drain.fuse(), values), guard)
 }
 
 #[cfg(test)]
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The drivers: thin, and the only ones that know sockets, clocks and signals. One thread runs them all.
+//! The drivers: the only code that uses sockets, clocks and signals. They contain no decisions, and all run as tasks
+//! of one thread.
 
 mod admin;
 mod agree;
@@ -19,7 +20,7 @@
 use crate::front::{Front, Input};
 use crate::xmpp::XmppSettings;
 use crate::{platform, xmpp};
-use descriptors::{DescriptorBudget, FULL_MS, GaveWay};
+use descriptors::{DescriptorBudget, Evicted, NO_ROOM_RETRY_MS};
 use recorder::Recorder;
 use reload::Source;
 use slog::{Logger, debug, info, warn};
@@ -35,18 +36,19 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::LocalSet;
 
-/// New connections still come for a while after SIGTERM, so that a node without any waits for them.
-const LINGER_MS: Millis = 600.0;
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
-/// While discovery is down the node goes by the list it was given after this.
-const READY_MS: u64 = 2_000;
-/// A node that still waits for discovery then is ready all the same, as nine in ten have to be within 6 s; what comes waits.
-const READY_LATEST_MS: u64 = 5_000;
-/// Between these it looks so often whether discovery has turned out to be down.
-const READY_STEP_MS: u64 = 100;
+/// Minimum time that a node goes on accepting connections after SIGTERM, as new ones still arrive for a while.
+const MIN_SHUTDOWN_MS: Millis = 600.0;
+/// Maximum number of connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1_024;
+/// Time after the start from which the node uses its configured member list if discovery turns out to be down.
+const CONFIGURED_LIST_AFTER_MS: u64 = 2_000;
+/// Time after the start at which the node becomes ready even while it still waits for discovery, as nine in ten nodes
+/// have to be ready within 6 s. Requests that need the list wait for it.
+const READY_DEADLINE_MS: u64 = 5_000;
+/// Interval between checks for a usable list from [`CONFIGURED_LIST_AFTER_MS`] to [`READY_DEADLINE_MS`].
+const READY_POLL_MS: u64 = 100;
 
-/// Unix time in milliseconds that only goes forward, from the start of the process on.
+/// Monotonic clock in Unix milliseconds: the Unix time of the process's start plus the time elapsed since.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -60,13 +62,13 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), base: unix.as_secs_f64() * 1_000.0 }
     }
 
-    /// The process among those of its node: Unix milliseconds at its start.
+    /// The incarnation, which tells a node's successive processes apart: Unix milliseconds at the process's start.
     pub fn incarnation(&self) -> u64 {
         self.base as u64
     }
@@ -81,42 +83,47 @@
     }
 }
 
-/// What all drivers of a node share.
+/// The state that a node's drivers share.
 struct Node {
     clock: Clock,
     log: Logger,
     broker: RefCell<Broker>,
     descriptors: RefCell<DescriptorBudget>,
-    /// Descriptors that are not in the budget: those of operators' calls.
-    kept_back: usize,
-    /// Holds the lines about bad input to a rate.
-    gate: RefCell<log::Gate>,
+    /// Descriptors that are not in the budget: those of the admin endpoint and the fleet link.
+    reserved_descriptors: usize,
+    /// Rate limit of log lines about bad input.
+    log_limit: RefCell<log::LogRateLimit>,
+    /// Running probe tasks: each receives the addresses at which its member is to be probed.
     probes: RefCell<HashMap<BackendId, mpsc::Sender<SocketAddr>>>,
-    /// Where discovery answers.
+    /// Address of discovery.
     discovery: std::cell::Cell<Option<SocketAddr>>,
-    /// Discovery is to be asked at another address.
+    /// Signals that the address of discovery has changed.
     redirected: Notify,
-    watch: Notify,
-    /// The node is ready, and has been told to end.
-    opened: Notify,
-    closed: Notify,
+    /// Signals that [`Node::watching`] was set, or that discovery is to be called.
+    watch_changed: Notify,
+    /// Signals that the node is ready to accept clients.
+    ready_to_accept: Notify,
+    /// Signals that shutdown has begun and another process accepts clients on the passed listener.
+    stop_accepting: Notify,
+    /// Whether the broker wants discovery watched.
     watching: std::cell::Cell<bool>,
-    /// Wakes the timer driver when an earlier time was set.
-    timers: Notify,
+    /// Signals that the time of the broker's next timer has changed.
+    timer_changed: Notify,
     keepalive: Duration,
     recorder: Option<Recorder>,
-    /// The link to the fleet, once its port is this process's.
+    /// The link to the fleet, once its port is bound.
     fleet: RefCell<Option<Rc<fleet::Link>>>,
+    /// Whether the configuration has a fleet.
     in_fleet: bool,
-    /// Drains are asked of the fleet.
+    /// Whether drains need the fleet's permit.
     agrees: bool,
 }
 
 impl Node {
-    /// Lets the broker do something, and carries out what it orders.
+    /// Runs `act` on the broker, then executes the commands that it has queued.
     fn with<T>(self: &Rc<Self>, act: impl FnOnce(&mut Broker, Millis) -> T) -> T {
         let now = self.clock.now();
-        let (done, driver_commands, earlier) = {
+        let (done, driver_commands, due_changed) = {
             let mut broker = self.broker.borrow_mut();
             let before = broker.next_due();
             let done = act(&mut broker, now);
@@ -124,20 +131,20 @@
                 std::iter::from_fn(|| broker.driver_command()).collect();
             (done, driver_commands, broker.next_due() != before)
         };
-        if earlier {
-            self.timers.notify_one();
+        if due_changed {
+            self.timer_changed.notify_one();
         }
         for driver_command in driver_commands {
-            self.carry_out(driver_command);
+            self.execute(driver_command);
         }
         done
     }
 
-    fn on_front_event(self: &Rc<Self>, id: TransactionId, said: FrontEvent) {
-        self.with(|broker, now| broker.on_front_event(now, id, said));
+    fn on_front_event(self: &Rc<Self>, id: TransactionId, event: FrontEvent) {
+        self.with(|broker, now| broker.on_front_event(now, id, event));
     }
 
-    fn carry_out(self: &Rc<Self>, driver_command: DriverCommand) {
+    fn execute(self: &Rc<Self>, driver_command: DriverCommand) {
         match driver_command {
             DriverCommand::Front(id, command) => {
                 self.descriptors.borrow().send(id, command);
@@ -145,31 +152,35 @@
             DriverCommand::Probe { member, dial } => probe::probe(self, member, &dial),
             DriverCommand::Watch(on) => {
                 self.watching.set(on);
-                self.watch.notify_one();
+                self.watch_changed.notify_one();
             }
-            DriverCommand::Fetch => self.watch.notify_one(),
-            DriverCommand::Opened => self.opened.notify_one(),
-            DriverCommand::Log(line) => self.write(line),
+            DriverCommand::Fetch => self.watch_changed.notify_one(),
+            DriverCommand::Opened => self.ready_to_accept.notify_one(),
+            DriverCommand::Log(line) => self.log_line(line),
         }
     }
 
-    fn write(&self, line: LogLine) {
+    fn log_line(&self, line: LogLine) {
         match line {
-            LogLine::Module(what) => info!(self.log, "module"; "what" => what),
-            LogLine::Fault(what) => slog::error!(self.log, "module fault"; "what" => what),
-            LogLine::Overdue(id) => slog::error!(self.log, "answer overdue"; "transaction" => id.0),
+            LogLine::Module(what) => info!(self.log, "decision module"; "what" => what),
+            LogLine::Fault(what) => slog::error!(self.log, "decision module fault"; "what" => what),
+            LogLine::Overdue(id) => {
+                slog::error!(self.log, "no final answer by the deadline, transaction failed"; "transaction" => id.0)
+            }
             LogLine::Members { changed, listed } => {
-                info!(self.log, "pool members"; "changed" => changed, "listed" => listed)
+                info!(self.log, "pool members changed"; "changed" => changed, "listed" => listed)
             }
             LogLine::AdoptionAwaitsList(id) => {
-                info!(self.log, "connection waits for the list that names its member"; "transaction" => id.0)
+                info!(self.log, "adopted connection waits for a list that names its member"; "transaction" => id.0)
             }
             LogLine::AdoptedMemberGone(id) => {
-                warn!(self.log, "member of a connection is gone"; "transaction" => id.0)
+                warn!(self.log, "member of an adopted connection is gone, placing it anew"; "transaction" => id.0)
+            }
+            LogLine::Parked(id) => {
+                debug!(self.log, "attempt waits for an answer of discovery"; "transaction" => id.0)
             }
-            LogLine::Parked(id) => debug!(self.log, "attempt waits for discovery"; "transaction" => id.0),
             LogLine::AttemptDenied(id, member) => {
-                warn!(self.log, "send withheld"; "transaction" => id.0, "member" => member)
+                warn!(self.log, "attempt denied, member may not be sent to"; "transaction" => id.0, "member" => member)
             }
             LogLine::Duplicate(id, name) => {
                 if self.may_log() {
@@ -180,10 +191,10 @@
                 info!(self.log, "pool member"; "member" => member, "phase" => ?phase)
             }
             LogLine::SlowMessages(member, ms) => {
-                info!(self.log, "messages slow"; "member" => member, "took_ms" => ms.round())
+                info!(self.log, "message latency at member changed"; "member" => member, "took_ms" => ms.round())
             }
             LogLine::List { seq, whole } => {
-                debug!(self.log, "list taken"; "version" => seq, "whole" => whole)
+                debug!(self.log, "member list updated"; "version" => seq, "whole" => whole)
             }
             LogLine::Attempt { id, name, member, attempt, started_ago_ms } => debug!(self.log, "attempt";
                 "transaction" => id.0, "id" => name.as_deref().unwrap_or("-"), "member" => member,
@@ -206,9 +217,9 @@
         }
     }
 
-    /// Clients without a first line were turned away, or probes given up, so that others find room.
-    fn gave_way(self: &Rc<Self>, gave_way: GaveWay) {
-        let GaveWay { clients, probes } = gave_way;
+    /// Reports evicted clients and probes to the broker and the log.
+    fn report_evicted(self: &Rc<Self>, evicted: Evicted) {
+        let Evicted { clients, probes } = evicted;
         for member in probes {
             self.probes.borrow_mut().remove(&member);
             self.with(|broker, now| broker.probe_evicted(now, member));
@@ -217,26 +228,27 @@
             self.broker.borrow_mut().clients_evicted(clients);
             if self.may_log() {
                 let held = self.descriptors.borrow().usage();
-                info!(self.log, "silent clients gave way"; "clients" => clients, "held" => %held);
+                info!(self.log, "silent clients evicted to make room"; "clients" => clients, "held" => %held);
             }
         }
     }
 
+    /// Counts and logs a client that is rejected for lack of descriptors; `asked` is the class it requested, if any.
     fn no_room(&self, id: TransactionId, peer: SocketAddr, asked: Option<ClassId>) {
         self.broker.borrow_mut().no_room(asked);
         if self.may_log() {
             let held = self.descriptors.borrow().usage();
             let (asked, client) = (asked.is_some(), peer);
-            warn!(self.log, "too many connections"; "transaction" => id.0, "client" => %client,
+            warn!(self.log, "client rejected, descriptor limit reached"; "transaction" => id.0, "client" => %client,
                 "asked" => asked, "held" => %held);
         }
     }
 
-    /// Whether one more line about bad input may be written just now; says how many were held back before it.
+    /// Whether the rate limit allows another line about bad input now. Logs how many were suppressed before it.
     fn may_log(&self) -> bool {
-        let (may, held) = self.gate.borrow_mut().pass(self.clock.now());
+        let (may, held) = self.log_limit.borrow_mut().allow(self.clock.now());
         if held > 0 {
-            info!(self.log, "lines held back"; "lines" => held);
+            info!(self.log, "log lines suppressed"; "lines" => held);
         }
         may
     }
@@ -247,19 +259,19 @@
     }
 }
 
-/// Which front a node has.
-pub enum Speaks {
-    /// The platform's protocol, with the configuration that SIGHUP reads anew.
+/// The front that a node serves, with the file to reload on SIGHUP.
+pub enum FrontConfig {
+    /// The platform's protocol, and the configuration file.
     Platform(PathBuf),
-    /// XMPP, with an inventory that SIGHUP reads anew.
+    /// XMPP, and the inventory file.
     Xmpp(XmppSettings, PathBuf),
 }
 
-/// Serves until SIGTERM or SIGINT.
+/// Runs a node until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// If the address can't be listened on, or the runtime can't be had.
-pub fn serve(config: Config, speaks: Speaks, clock: Clock, log: Logger) -> io::Result<()> {
+/// An address can't be listened on, the records folder can't be written to, or the runtime can't be created.
+pub fn serve(config: Config, front_config: FrontConfig, clock: Clock, log: Logger) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(LocalSet::new().run_until(async {
         let listener = match config.passed_socket {
@@ -271,37 +283,37 @@
             Some(fleet) => fleet::bind(fleet, config.passed_socket.is_some())?,
             None => None,
         };
-        run_in(config, speaks, clock, listener, admin, ports, log).await
+        run_with_ports(config, front_config, clock, listener, admin, ports, log).await
     }))
 }
 
-/// Guards against bursts of connections: with the usual backlog of 128 the kernel dropped what came on top, and
-/// those clients tried again a second later.
+/// Listens with a backlog sized for bursts of connections: with the usual 128 the kernel dropped the excess, and those
+/// clients tried again a second later.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // The address is free again at once after a restart.
+    // Lets the node bind its address again immediately after a restart.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Serves on listeners that are there already: the clients', and the operators' if there is one.
+/// Runs a node on bound listeners: the clients', and the admin endpoint's if there is one.
 ///
 /// # Errors
-/// If signals can't be had.
+/// Signal handlers can't be installed, or the records folder can't be written to.
 pub async fn run(
     config: Config,
-    speaks: Speaks,
+    front_config: FrontConfig,
     listener: TcpListener,
     admin: Option<TcpListener>,
     log: Logger,
 ) -> io::Result<()> {
-    run_in(config, speaks, Clock::new(), listener, admin, None, log).await
+    run_with_ports(config, front_config, Clock::new(), listener, admin, None, log).await
 }
 
-async fn run_in(
+async fn run_with_ports(
     config: Config,
-    speaks: Speaks,
+    front_config: FrontConfig,
     clock: Clock,
     listener: TcpListener,
     admin: Option<TcpListener>,
@@ -320,22 +332,23 @@
         None => None,
     };
     let fleet_descriptors = if config.fleet.is_some() { fleet::RESERVED_DESCRIPTORS } else { 0 };
-    let kept_back = if admin.is_some() { admin::RESERVED_DESCRIPTORS } else { 0 } + fleet_descriptors;
+    let reserved_descriptors =
+        if admin.is_some() { admin::RESERVED_DESCRIPTORS } else { 0 } + fleet_descriptors;
     let node = Rc::new(Node {
         clock,
         log,
         broker: RefCell::new(broker),
-        descriptors: RefCell::new(DescriptorBudget::new(config.sockets.saturating_sub(kept_back))),
-        kept_back,
-        gate: RefCell::default(),
+        descriptors: RefCell::new(DescriptorBudget::new(config.sockets.saturating_sub(reserved_descriptors))),
+        reserved_descriptors,
+        log_limit: RefCell::default(),
         probes: RefCell::default(),
         discovery: std::cell::Cell::new(config.discovery),
         redirected: Notify::new(),
-        watch: Notify::new(),
-        opened: Notify::new(),
-        closed: Notify::new(),
+        watch_changed: Notify::new(),
+        ready_to_accept: Notify::new(),
+        stop_accepting: Notify::new(),
         watching: std::cell::Cell::new(false),
-        timers: Notify::new(),
+        timer_changed: Notify::new(),
         keepalive: Duration::from_secs_f64(config.site.keepalive_ms / 1_000.0),
         recorder,
         fleet: RefCell::default(),
@@ -356,39 +369,39 @@
         info!(node.log, "operators may call"; "address" => %admin.local_addr()?);
         tokio::task::spawn_local(admin::accept(node.clone(), admin, config.site.classes.clone()));
     }
-    node.with(|_, _| ()); // what the known list brought about
-    tokio::task::spawn_local(timers(node.clone()));
+    node.with(|_, _| ()); // executes the commands that the configured member list has queued
+    tokio::task::spawn_local(run_timers(node.clone()));
     if node.recorder.is_some() {
-        tokio::task::spawn_local(recorder::feed(node.clone()));
+        tokio::task::spawn_local(recorder::flush_periodically(node.clone()));
     }
     match config.discovery {
         Some(_) => drop(tokio::task::spawn_local(watch::watch(node.clone(), config.site.zones.clone()))),
         None => node.with(|broker, _| broker.set_ready()),
     }
-    let passed = config.passed_socket.is_some();
+    let listener_passed = config.passed_socket.is_some();
     let mut source;
-    let front: Box<dyn Fn(Millis) -> Box<dyn Front>> = match speaks {
-        Speaks::Platform(file) => {
+    let front: Box<dyn Fn(Millis) -> Box<dyn Front>> = match front_config {
+        FrontConfig::Platform(file) => {
             let names = Rc::new(platform::PlatformSettings::new(&config.site));
             source = Source::Config(file, Box::new(config));
             Box::new(move |now| Box::new(platform::Session::new(now, names.clone())))
         }
-        Speaks::Xmpp(realm, file) => {
+        FrontConfig::Xmpp(realm, file) => {
             source = Source::Inventory(file);
             let realm = Rc::new(realm);
             Box::new(move |now| Box::new(xmpp::Session::new(now, realm.clone())))
         }
     };
-    tokio::task::spawn_local(accept(node.clone(), listener, front, passed));
-    let late = node.clone();
+    tokio::task::spawn_local(accept(node.clone(), listener, front, listener_passed));
+    let waiting = node.clone();
     tokio::task::spawn_local(async move {
-        tokio::time::sleep(Duration::from_millis(READY_MS)).await;
-        let mut waited = READY_MS;
-        while waited < READY_LATEST_MS && !late.with(|broker, now| broker.list_holds(now)) {
-            tokio::time::sleep(Duration::from_millis(READY_STEP_MS)).await;
-            waited += READY_STEP_MS;
+        tokio::time::sleep(Duration::from_millis(CONFIGURED_LIST_AFTER_MS)).await;
+        let mut waited = CONFIGURED_LIST_AFTER_MS;
+        while waited < READY_DEADLINE_MS && !waiting.with(|broker, now| broker.list_holds(now)) {
+            tokio::time::sleep(Duration::from_millis(READY_POLL_MS)).await;
+            waited += READY_POLL_MS;
         }
-        late.with(|broker, _| broker.set_ready());
+        waiting.with(|broker, _| broker.set_ready());
     });
     loop {
         tokio::select! {
@@ -401,39 +414,40 @@
             _ = interrupt.recv() => break,
         }
     }
-    leave(&node, passed).await;
+    shut_down(&node, listener_passed).await;
     recorder::finish(&node);
     node.print_counters("exit");
     Ok(())
 }
 
-/// Goes on serving while clients are moved, and ends when none is left.
-async fn leave(node: &Rc<Node>, passed: bool) {
+/// Shuts down gracefully: serves on while clients are moved, until none is left or the time given by the broker is over.
+async fn shut_down(node: &Rc<Node>, listener_passed: bool) {
     let began = node.clock.now();
-    fleet::begin_shutdown(node, passed);
-    if passed {
-        // Another process accepts on the same queue: what is not accepted yet is for that one.
-        node.closed.notify_one();
+    fleet::begin_shutdown(node, listener_passed);
+    if listener_passed {
+        // Another process accepts on the same queue and takes the connections not accepted yet.
+        node.stop_accepting.notify_one();
     }
-    // Nobody else takes new connections of a node that listens for itself.
-    let linger = if passed { 0.0 } else { LINGER_MS };
-    info!(node.log, "leaving"; "transactions" => node.broker.borrow().transactions());
-    let over = began + node.with(|broker, now| broker.leave(now));
-    while node.clock.now() < over {
+    // Without a passed listener no other process would take the connections that still arrive.
+    let min_ms = if listener_passed { 0.0 } else { MIN_SHUTDOWN_MS };
+    info!(node.log, "shutting down"; "transactions" => node.broker.borrow().transactions());
+    let deadline = began + node.with(|broker, now| broker.leave(now));
+    while node.clock.now() < deadline {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        let closed = node.clock.now() > began + linger;
+        let closed = node.clock.now() > began + min_ms;
         if closed && node.broker.borrow().transactions() == 0 && node.descriptors.borrow().is_empty() {
             break;
         }
     }
     let left = node.broker.borrow().transactions();
     if left > 0 {
-        warn!(node.log, "left behind"; "transactions" => left);
+        warn!(node.log, "shutdown time is over, closing open transactions"; "transactions" => left);
     }
     fleet::leave(node);
 }
 
-async fn timers(node: Rc<Node>) {
+/// Fires the broker's timers.
+async fn run_timers(node: Rc<Node>) {
     loop {
         let due = node.broker.borrow().next_due();
         let sleep = async {
@@ -444,26 +458,26 @@
         };
         tokio::select! {
             () = sleep => node.with(|broker, now| broker.tick(now)),
-            () = node.timers.notified() => {}
+            () = node.timer_changed.notified() => {}
         }
     }
 }
 
-/// Accepts clients; on a listener that was passed down only while this process is ready and does not end, as another
-/// may accept on it as well.
+/// Accepts clients. On a passed listener it does so only while this process is ready and not shutting down, as another
+/// process may accept on it as well.
 async fn accept(
     node: Rc<Node>,
     listener: TcpListener,
     front: Box<dyn Fn(Millis) -> Box<dyn Front>>,
-    passed: bool,
+    listener_passed: bool,
 ) {
-    if passed {
-        node.opened.notified().await;
+    if listener_passed {
+        node.ready_to_accept.notified().await;
     }
     loop {
         let accepted = tokio::select! {
             biased;
-            () = node.closed.notified() => return,
+            () = node.stop_accepting.notified() => return,
             accepted = listener.accept() => accepted,
         };
         let (client, peer): (_, SocketAddr) = match accepted {
@@ -476,19 +490,18 @@
         };
         let id = node.broker.borrow_mut().next_id();
         let (send, commands) = mpsc::unbounded_channel();
-        let (room, gave_way) = node.descriptors.borrow_mut().enter(node.clock.now(), id, send);
-        node.gave_way(gave_way);
+        let (room, evicted) = node.descriptors.borrow_mut().admit(node.clock.now(), id, send);
+        node.report_evicted(evicted);
         let mut front = front(node.clock.now());
         if !room {
-            // Not even silent ones are left to give way: the client is turned away at once.
+            // No evictable connection is left, so the client is rejected at once.
             node.no_room(id, peer, None);
-            front.take(node.clock.now(), Input::Command(Command::Reject(FULL_MS)));
+            front.take(node.clock.now(), Input::Command(Command::Reject(NO_ROOM_RETRY_MS)));
             let _ = client.try_write(front.to_client());
             continue;
         }
         tokio::task::spawn_local(session::run(node.clone(), id, peer, client, front, commands));
-        // Those just taken in are read first: a client whose line has come must not pass for a silent one that
-        // has to give way to the next.
+        // Lets sessions read first: a client whose line has arrived must not be evicted as silent for the next one.
         tokio::task::yield_now().await;
     }
 }
--- a/src/net/probe.rs
+++ b/src/net/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: one connection a member, kept while probes come.
+//! Driver of probes: one task and one connection per member, connection open between probes.
 
 use super::Node;
 use crate::api::{BackendId, Outcome};
@@ -10,9 +10,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// A probe is given up after this.
-const WAIT: Duration = Duration::from_millis(500);
+/// A probe without an answer after this time has failed.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
+/// Probes a member: through its running task if there is one, else through a new one if the descriptor budget allows.
 pub(super) fn probe(node: &Rc<Node>, member: BackendId, dial: &str) {
     let Ok(address) = dial.parse::<SocketAddr>() else { return };
     if let Some(known) = node.probes.borrow().get(&member)
@@ -20,34 +21,36 @@
     {
         return;
     }
-    let (may, gave_way) = node.descriptors.borrow_mut().may_probe(node.clock.now());
-    node.gave_way(gave_way);
+    let (may, evicted) = node.descriptors.borrow_mut().may_probe(node.clock.now());
+    node.report_evicted(evicted);
     if !may {
         return node.with(|broker, now| broker.probed(now, member, Outcome::NotSent, None, None));
     }
-    let (send, asked) = mpsc::channel(1);
+    let (send, requests) = mpsc::channel(1);
     if send.try_send(address).is_ok() {
         node.probes.borrow_mut().insert(member, send);
-        let task = tokio::task::spawn_local(run(node.clone(), member, asked));
-        node.descriptors.borrow_mut().probe_began(member, task.abort_handle());
+        let task = tokio::task::spawn_local(run(node.clone(), member, requests));
+        node.descriptors.borrow_mut().probe_started(member, task.abort_handle());
     }
 }
 
-/// Probes one member while that is asked for. It may be aborted where it waits: whoever does that keeps the books.
-async fn run(node: Rc<Node>, member: BackendId, mut asked: mpsc::Receiver<SocketAddr>) {
-    let mut kept = None;
-    while let Ok(Some(address)) = tokio::time::timeout(node.keepalive, asked.recv()).await {
-        // A member may have come back elsewhere.
-        let mut stream = kept.take().filter(|(known, _)| *known == address).map(|(_, stream)| stream);
-        let ended = tokio::time::timeout(WAIT, once(&mut stream, address)).await;
-        let (outcome, said) = ended.unwrap_or((Outcome::TimedOut, None));
-        // An answer that is late must not pass for that to the next probe.
-        kept = stream.filter(|_| outcome == Outcome::Ok).map(|stream| (address, stream));
-        let (report, message) = (said.map(|said| said.report), said.and_then(|said| said.message_ms));
-        node.with(|broker, now| broker.probed(now, member, outcome, report, message));
+/// Probes one member until no probe has been requested for the keep-alive time. The descriptor budget may abort it at
+/// any await point; it then releases the descriptor and the entry of this task itself.
+async fn run(node: Rc<Node>, member: BackendId, mut requests: mpsc::Receiver<SocketAddr>) {
+    let mut connection = None;
+    while let Ok(Some(address)) = tokio::time::timeout(node.keepalive, requests.recv()).await {
+        // A restarted member may have another address.
+        let mut stream = connection.take().filter(|(known, _)| *known == address).map(|(_, stream)| stream);
+        let result = tokio::time::timeout(PROBE_TIMEOUT, probe_once(&mut stream, address)).await;
+        let (outcome, report) = result.unwrap_or((Outcome::TimedOut, None));
+        // Closed unless the probe succeeded, or a late answer would be taken for the answer to the next probe.
+        connection = stream.filter(|_| outcome == Outcome::Ok).map(|stream| (address, stream));
+        let (report, message_ms) =
+            (report.map(|report| report.report), report.and_then(|report| report.message_ms));
+        node.with(|broker, now| broker.probed(now, member, outcome, report, message_ms));
     }
-    asked.close();
-    drop(kept);
+    requests.close();
+    drop(connection);
     node.descriptors.borrow_mut().probe_ended(member);
     let mut probes = node.probes.borrow_mut();
     if probes.get(&member).is_some_and(mpsc::Sender::is_closed) {
@@ -55,7 +58,8 @@
     }
 }
 
-async fn once(stream: &mut Option<TcpStream>, address: SocketAddr) -> (Outcome, Option<ProbeReport>) {
+/// Sends one probe and reads its answer; connects first if needed.
+async fn probe_once(stream: &mut Option<TcpStream>, address: SocketAddr) -> (Outcome, Option<ProbeReport>) {
     if stream.is_none() {
         match TcpStream::connect(address).await {
             Ok(connected) => *stream = Some(connected),
@@ -71,8 +75,8 @@
     loop {
         match stream.read(&mut buffer).await {
             Ok(read @ 1..) => {
-                if let Some(ended) = probe.take(&buffer[..read]) {
-                    return ended;
+                if let Some(result) = probe.take(&buffer[..read]) {
+                    return result;
                 }
             }
             _ => return (probe.outcome_if_closed(), None),
--- a/src/net/recorder.rs
+++ b/src/net/recorder.rs
@@ -1,5 +1,6 @@
-//! The recorder's driver: takes records off the broker's tape and hands them, through a bounded queue, to a thread
-//! that writes them. Recording never holds up the loop and never ends the node: what finds no room is counted.
+//! Driver of the event recorder: takes records from the broker and passes them, through a bounded queue, to a thread
+//! that writes them to disk. Recording never blocks the event loop and never stops the node: records that find no
+//! room in the queue are dropped and counted.
 
 use super::Node;
 use crate::api::Millis;
@@ -16,42 +17,48 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Records are handed on this often: a node that is killed loses no more than these.
-const EVERY: Duration = Duration::from_millis(100);
-/// Batches that may wait for the disk.
-const WAITING: usize = 8;
-/// Every so many batches the counters are recorded: once a second.
-const COUNTED: u32 = 10;
-/// When the node ends, so much time is left for the last records.
-const LAST: Duration = Duration::from_millis(250);
+/// Interval at which records are passed to the writer; a node that is killed loses at most the records of one interval.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of batches that wait to be written.
+const MAX_QUEUED_BATCHES: usize = 8;
+/// The counters are recorded every this many intervals, which is once a second.
+const INTERVALS_PER_COUNTERS: u32 = 10;
+/// Time at shutdown for writing the last records.
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_millis(250);
 
+/// Records that are written together.
 struct Batch {
     now: Millis,
+    /// Time of the system's clock, as the node's own is monotonic.
     wall: Millis,
+    /// Number of records that were dropped before these, and the time of the first.
     missed: Option<(u64, Millis)>,
     records: Vec<Record>,
 }
 
-/// The node's side of the queue.
+/// The event loop's side of the queue.
 pub(super) struct Recorder {
     queue: Cell<Option<SyncSender<Batch>>>,
-    /// Empty buffers come back to be filled again.
-    spare: Receiver<Vec<Record>>,
-    /// Ends when the thread does.
+    /// Empty buffers that the writer returns for reuse.
+    spare_buffers: Receiver<Vec<Record>>,
+    /// Closed when the writer thread ends.
     done: Receiver<()>,
+    /// Number of records dropped since the last batch that was queued, and the time of the first.
     missed: Cell<Option<(u64, Millis)>>,
+    /// Number of records that the writer failed to write.
     lost: Arc<AtomicU64>,
 }
 
-fn wall() -> Millis {
+/// Unix time in milliseconds by the system's clock.
+fn wall_clock() -> Millis {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1_000.0
 }
 
 impl Recorder {
-    /// Begins a segment and the thread that writes.
+    /// Creates the first segment and starts the writer thread.
     ///
     /// # Errors
-    /// If the folder is missing or can't be written to, naming the field.
+    /// The folder is missing or can't be written to; the message names the field.
     pub(super) fn start(records: &Records, config: &Config, now: Millis, log: Logger) -> io::Result<Self> {
         let header = Header {
             node: config.name.clone(),
@@ -59,7 +66,7 @@
             started: now,
             sequence: 0,
             base: now,
-            wall: wall(),
+            wall: wall_clock(),
             site: site_header(&config.site),
             counters: Counters::NAMES.iter().map(|name| (*name).to_owned()).collect(),
         };
@@ -68,20 +75,21 @@
             io::Error::new(error.kind(), format!("records.folder: {folder}: {error}"))
         })?;
         info!(log, "recording"; "folder" => records.folder.display().to_string());
-        let (queue, batches) = sync_channel(WAITING);
-        let (give_back, spare) = sync_channel(WAITING);
+        let (queue, batches) = sync_channel(MAX_QUEUED_BATCHES);
+        let (returned_buffers, spare_buffers) = sync_channel(MAX_QUEUED_BATCHES);
         let (ended, done) = sync_channel(0);
         let lost = Arc::new(AtomicU64::new(0));
-        let count = lost.clone();
+        let lost_by_writer = lost.clone();
         std::thread::Builder::new().name("recorder".into()).spawn(move || {
-            write(writer, &batches, &give_back, &count, &log);
+            write_batches(writer, &batches, &returned_buffers, &lost_by_writer, &log);
             drop(ended);
         })?;
         let (queue, missed) = (Cell::new(Some(queue)), Cell::new(None));
-        Ok(Recorder { queue, spare, done, missed, lost })
+        Ok(Recorder { queue, spare_buffers, done, missed, lost })
     }
 
-    fn hand_on(&self, batch: Batch) {
+    /// Queues a batch; if the queue is full or closed, drops it and counters_due its records.
+    fn enqueue(&self, batch: Batch) {
         let Some(queue) = self.queue.take() else { return };
         let sent = queue.try_send(batch);
         self.queue.set(Some(queue));
@@ -93,66 +101,67 @@
     }
 }
 
-/// Hands on what has been recorded, until the node ends.
-pub(super) async fn feed(node: Rc<Node>) {
-    let mut round = 0u32;
+/// Passes records to the writer at each interval, until the node ends.
+pub(super) async fn flush_periodically(node: Rc<Node>) {
+    let mut interval = 0u32;
     loop {
-        tokio::time::sleep(EVERY).await;
-        round = round.wrapping_add(1);
-        let counts = round.is_multiple_of(COUNTED);
-        if counts {
-            node.broker.borrow_mut().record_counters(node.clock.now(), wall());
+        tokio::time::sleep(FLUSH_INTERVAL).await;
+        interval = interval.wrapping_add(1);
+        let counters_due = interval.is_multiple_of(INTERVALS_PER_COUNTERS);
+        if counters_due {
+            node.broker.borrow_mut().record_counters(node.clock.now(), wall_clock());
         }
-        if counts || node.broker.borrow().has_records() {
+        if counters_due || node.broker.borrow().has_records() {
             flush(&node);
         }
     }
 }
 
+/// Passes the records that the broker has collected to the writer.
 fn flush(node: &Node) {
     let Some(recorder) = &node.recorder else { return };
     let now = node.clock.now();
     let lost = recorder.lost.load(Relaxed);
-    let take_records = {
+    let taken = {
         let mut broker = node.broker.borrow_mut();
         broker.records_lost(lost);
-        broker.take_records(recorder.spare.try_recv().unwrap_or_default())
+        broker.take_records(recorder.spare_buffers.try_recv().unwrap_or_default())
     };
-    let missed = match (recorder.missed.take(), take_records.missed) {
+    let missed = match (recorder.missed.take(), taken.missed) {
         (Some((a, since)), Some((b, _))) => Some((a + b, since)),
         (a, b) => a.or(b),
     };
-    recorder.hand_on(Batch { now, wall: wall(), missed, records: take_records.records });
+    recorder.enqueue(Batch { now, wall: wall_clock(), missed, records: taken.records });
 }
 
-/// The node ends in good order: the last records are written, if the disk takes them in time.
+/// Records the node's regular end and waits until the last records are written, at most [`FINAL_FLUSH_TIMEOUT`].
 pub(super) fn finish(node: &Node) {
     let Some(recorder) = &node.recorder else { return };
     flush(node);
     node.broker.borrow_mut().record_stopped(node.clock.now());
     flush(node);
     recorder.queue.take();
-    let _ = recorder.done.recv_timeout(LAST);
+    let _ = recorder.done.recv_timeout(FINAL_FLUSH_TIMEOUT);
 }
 
-/// The thread that writes.
-fn write(
+/// The writer thread.
+fn write_batches(
     mut writer: Writer,
     batches: &Receiver<Batch>,
-    give_back: &SyncSender<Vec<Record>>,
+    returned_buffers: &SyncSender<Vec<Record>>,
     lost: &AtomicU64,
     log: &Logger,
 ) {
-    let mut missing = false;
+    let mut dropping = false;
     for Batch { now, wall, missed, mut records } in batches {
         if let Some((missed, since)) = missed {
-            // One line for as long as it goes on: the counter and the gaps tell the rest.
-            if !std::mem::replace(&mut missing, true) {
-                warn!(log, "records missed"; "records" => missed);
+            // Logged once per episode; the counter and the gaps in the records show the rest.
+            if !std::mem::replace(&mut dropping, true) {
+                warn!(log, "records dropped, writer is behind"; "records" => missed);
             }
             writer.missed(missed, since);
         } else {
-            missing = false;
+            dropping = false;
         }
         writer.write(now, wall, &records);
         lost.store(writer.lost(), Relaxed);
@@ -161,11 +170,11 @@
                 Notice::Failing(error) => error!(log, "records not written"; "error" => %error),
                 Notice::Recovered(lost) => info!(log, "records written again"; "lost" => lost),
                 Notice::Untidy(path, error) => {
-                    warn!(log, "segment left"; "path" => path.display().to_string(), "error" => %error)
+                    warn!(log, "segment could not be tidied up"; "path" => path.display().to_string(), "error" => %error)
                 }
             }
         }
         records.clear();
-        let _ = give_back.try_send(records);
+        let _ = returned_buffers.try_send(records);
     }
 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration or the inventory is read anew while the node serves. A bad file changes nothing.
+//! Reloads the configuration or the inventory on SIGHUP while the node serves. An invalid file changes nothing.
 
 use super::Node;
 use crate::config::{self, Config};
@@ -7,45 +7,51 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// What is read anew.
+/// The file that is reloaded.
 pub(super) enum Source {
-    /// The platform's configuration, with what of it is in force.
+    /// The platform's configuration file, and the configuration in force.
     Config(PathBuf, Box<Config>),
-    /// The inventory of an XMPP node.
+    /// The inventory file of an XMPP node.
     Inventory(PathBuf),
 }
 
 impl Source {
-    /// Reads and checks the whole file, then puts it in force.
+    /// Reads and checks the whole file, then applies it.
     pub(super) fn reload(&mut self, node: &Rc<Node>) {
         match self {
-            Source::Config(file, now) => match config::read(file) {
-                Ok(new) => take(node, now, new),
-                Err(error) => refuse(node, "configuration not taken", &error),
+            Source::Config(file, current) => match config::read(file) {
+                Ok(new) => apply(node, current, new),
+                Err(error) => report_failure(node, "configuration not taken", &error),
             },
             Source::Inventory(file) => match operator::pool(file) {
                 Ok(list) => {
                     let members = list.members.len();
-                    if let Err(unfit) = node.with(|broker, now| broker.listed(now, list, now)) {
-                        return refuse(node, "inventory not taken", &config::ConfigError(unfit.to_string()));
+                    if let Err(invalid) = node.with(|broker, now| broker.listed(now, list, now)) {
+                        return report_failure(
+                            node,
+                            "inventory not taken",
+                            &config::ConfigError(invalid.to_string()),
+                        );
                     }
                     info!(node.log, "inventory taken"; "members" => members);
                     node.with(|broker, now| broker.reloaded(now, true));
                 }
-                Err(error) => refuse(node, "inventory not taken", &error),
+                Err(error) => report_failure(node, "inventory not taken", &error),
             },
         }
     }
 }
 
-fn refuse(node: &Rc<Node>, what: &'static str, error: &config::ConfigError) {
+/// Counts and logs a reload that failed.
+fn report_failure(node: &Rc<Node>, what: &'static str, error: &config::ConfigError) {
     node.with(|broker, now| broker.reloaded(now, false));
     warn!(node.log, "{}", what; "error" => %error);
 }
 
-/// The address of discovery and the limit of descriptors take effect; what else differs waits for a restart.
-fn take(node: &Rc<Node>, old: &mut Config, new: Config) {
-    let waits: Vec<&str> = [
+/// Applies a new configuration: discovery's address and the descriptor limit take effect at once. Other fields that
+/// differ are logged, and take effect after a restart.
+fn apply(node: &Rc<Node>, old: &mut Config, new: Config) {
+    let needs_restart: Vec<&str> = [
         ("name", old.name != new.name),
         ("listen", old.listen != new.listen),
         ("admin", new.admin.is_some() && old.admin != new.admin),
@@ -56,8 +62,8 @@
     .collect();
     let discovery = new.discovery.map_or_else(String::new, |address| address.to_string());
     info!(node.log, "configuration taken"; "discovery" => discovery, "sockets" => new.sockets,
-        "waits_for_restart" => waits.join(" "));
-    node.descriptors.borrow_mut().resize(new.sockets.saturating_sub(node.kept_back));
+        "waits_for_restart" => needs_restart.join(" "));
+    node.descriptors.borrow_mut().resize(new.sockets.saturating_sub(node.reserved_descriptors));
     old.sockets = new.sockets;
     old.discovery = new.discovery;
     node.with(|broker, now| broker.reloaded(now, true));
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -1,7 +1,7 @@
 //! One client connection: reads and writes for its front.
 
 use super::Node;
-use super::descriptors::FULL_MS;
+use super::descriptors::NO_ROOM_RETRY_MS;
 use crate::api::{ClassId, Millis};
 use crate::broker::{Command, FrontEvent, TransactionId};
 use crate::front::{Front, Input, Step};
@@ -64,7 +64,7 @@
         }
     }
     // Only now: a node that leaves must not end while a last word is still being written.
-    node.descriptors.borrow_mut().leave(id);
+    node.descriptors.borrow_mut().release(id);
 }
 
 enum End {
@@ -101,8 +101,8 @@
 
 /// Whether there is room for the transaction that the client asks for.
 fn has_room(node: &Rc<Node>, id: TransactionId, peer: SocketAddr, class: ClassId) -> bool {
-    let (room, gave_way) = node.descriptors.borrow_mut().open(node.clock.now(), id);
-    node.gave_way(gave_way);
+    let (room, evicted) = node.descriptors.borrow_mut().open(node.clock.now(), id);
+    node.report_evicted(evicted);
     if !room {
         node.no_room(id, peer, Some(class));
     }
@@ -129,7 +129,7 @@
                     if let FrontEvent::ClientRequest(ask) = &said
                         && !has_room(node, id, peer, ask.class)
                     {
-                        front.take(node.clock.now(), Input::Command(Command::Reject(FULL_MS)));
+                        front.take(node.clock.now(), Input::Command(Command::Reject(NO_ROOM_RETRY_MS)));
                     } else {
                         node.on_front_event(id, said);
                     }
@@ -233,7 +233,7 @@
                 }
                 Ok(read) => {
                     if !asked {
-                        node.descriptors.borrow_mut().wrote(now, id);
+                        node.descriptors.borrow_mut().received_bytes(now, id);
                     }
                     front.take(now, Input::Client(&buffer[..read]));
                 }
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -47,7 +47,7 @@
     let (mut fresh, mut anew) = (None, false);
     loop {
         while !node.watching.get() {
-            node.watch.notified().await;
+            node.watch_changed.notified().await;
         }
         let Some(address) = node.discovery.get() else { return };
         let error = tokio::select! {
