--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node is told: `NODE_CONFIG`, decoded once into the values that the program uses.
+//! A node's configuration: the file that `NODE_CONFIG` names, decoded once into the values that the program uses.
 
 use crate::api::*;
 use crate::pool::{PoolList, RawList};
@@ -8,39 +8,38 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Everything a node is told at its start.
+/// The configuration of a node.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The node's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// The descriptor of a socket on which clients connect, passed down by whoever started the process; none: the node
-    /// listens for itself.
+    /// Descriptor of a listening socket for clients that the parent process passed; `None` if the node opens its own.
     pub passed_socket: Option<i32>,
-    /// Where operators call; none: nowhere.
+    /// Address of the admin endpoint, if there is one.
     pub admin: Option<SocketAddr>,
-    /// Where discovery answers; none if the pool comes from an inventory.
+    /// Address of discovery; `None` if the pool comes from an inventory.
     pub discovery: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Most file descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process may hold.
     pub sockets: usize,
-    /// The pool as this node had it last.
+    /// The last pool known to this node, used until discovery answers.
     pub known: PoolList,
-    /// Names and figures of the site.
+    /// Names and settings of the site.
     pub site: Site,
-    /// Where the node records what happens; the platform's configuration never sets it.
+    /// Where events are recorded; set only by an operator file.
     pub records: Option<Records>,
-    /// How it finds its fleet; the platform's configuration never sets it.
+    /// How the node finds its fleet; set only by an operator file.
     pub fleet: Option<Fleet>,
 }
 
 impl Config {
-    /// Takes what the environment names and the file does not: `NODE_ADMIN` and `NODE_PASSED_SOCKET`.
+    /// Adds what the environment sets: `NODE_ADMIN`, unless the file sets the address, and `NODE_PASSED_SOCKET`.
     ///
     /// # Errors
-    /// One message that names the variable.
+    /// A variable is invalid; the message names it.
     pub fn take_environment(&mut self, variable: impl Fn(&str) -> Option<String>) -> Result<(), ConfigError> {
         let variable = |name| variable(name).filter(|text| !text.is_empty());
         if self.admin.is_none() {
@@ -55,70 +54,70 @@
     }
 }
 
-/// Where and how much a node records.
+/// Where events are recorded, and how much is kept.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Records {
-    /// A folder of the node's own.
+    /// A folder that no other node uses.
     pub folder: PathBuf,
-    /// How much is kept.
+    /// Limits of size and age.
     pub keep: Keep,
 }
 
-/// How a node finds the others of its fleet, and is found.
+/// How a node and the other nodes of its fleet find each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Where it listens, for datagrams and connections.
+    /// Address of the fleet port, for UDP and TCP.
     pub listen: SocketAddr,
-    /// Where others reach it; none: where it listens.
+    /// Address at which other nodes reach it; `None` if that is `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Where others may be found.
+    /// Addresses at which other nodes may be found.
     pub seeds: Vec<SocketAddr>,
-    /// The file of keys.
+    /// The file of fleet keys.
     pub keys: PathBuf,
-    /// Its zone, as others are told.
+    /// The zone that is announced to other nodes.
     pub zone: String,
-    /// The files that make up its configuration: their digest tells versions apart.
+    /// The files that make up the configuration; their digest is announced, so that versions can be told apart.
     pub files: Vec<PathBuf>,
-    /// Drains are asked of the fleet; none: whoever calls drains.
+    /// The drain agreement; `None` if a node drains on command without a permit.
     pub agree: Option<Agreement>,
 }
 
-/// Who agrees on drains.
+/// The Raft group that grants drain permits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Agreement {
-    /// The names of the voters: 1, 3, 5 or 7.
+    /// Names of the voters: 1, 3, 5 or 7.
     pub voters: Vec<String>,
-    /// Where this node keeps its log and vote, if it is one of them.
+    /// Folder of this node's log and vote, if it is a voter.
     pub folder: PathBuf,
 }
 
-/// Where the settings don't say for how long after a drain was told something new may still be sent.
-const STOP_SENDING_MS: Millis = 750.0;
+/// Default of [`Site::stop_sending_ms`].
+const DEFAULT_STOP_SENDING_MS: Millis = 750.0;
 
-/// The settings: those of the decision module and those that only the network code reads.
+/// The settings: those of the decision module, and those that only the rest of the node reads.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Site {
-    /// The decision module's.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Class names, in the order of their numbers.
+    /// Class names, indexed by class number.
     pub classes: Vec<String>,
-    /// Tenant names, in the order of their numbers.
+    /// Tenant names, indexed by tenant number.
     pub tenants: Vec<String>,
-    /// Zone names, in the order of their numbers.
+    /// Zone names, indexed by zone number.
     pub zones: Vec<String>,
-    /// Whether `LOAD` lines tell a connection's load.
+    /// Whether members report a connection's load in `LOAD` lines.
     pub has_load_lines: bool,
-    /// Whether the answers of pool members may close with a load report.
+    /// Whether the answers of pool members may end with a load report.
     pub has_load_reports: bool,
-    /// An idle connection is closed after this.
+    /// Time after which an idle connection is closed.
     pub keepalive_ms: Millis,
-    /// The longest deadline that any class states; 0 if none does.
+    /// The longest deadline of any class; 0 if no class has one.
     pub longest_deadline_ms: Millis,
-    /// Nothing new goes to a member for longer than this after it was told that it drains or is gone.
+    /// Time after a member was reported as draining or gone during which new work may still be sent to it.
     pub stop_sending_ms: Millis,
 }
 
-/// What is wrong with the configuration: names the file or the field.
+/// An error in the configuration; the message names the file or the field.
 #[derive(Debug)]
 pub struct ConfigError(pub String);
 
@@ -148,22 +147,22 @@
     sockets: usize,
 }
 
-/// Reads and decodes the file.
+/// Reads and decodes a configuration file.
 ///
 /// # Errors
-/// One message that names the file and the field at fault.
+/// The file can't be read or is invalid; the message names the file and the field.
 pub fn read(path: &Path) -> Result<Config, ConfigError> {
     let about = |error: &dyn std::fmt::Display| ConfigError(format!("{}: {error}", path.display()));
     let json = std::fs::read(path).map_err(|error| about(&error))?;
     decode(&json).map_err(|error| about(&error))
 }
 
-/// Decodes the configuration.
+/// Decodes a configuration.
 ///
 /// # Errors
-/// One message that names the field at fault.
+/// The configuration is invalid; the message names the field.
 pub fn decode(json: &[u8]) -> Result<Config, ConfigError> {
-    // Names the field, whatever is wrong with it.
+    // Adds the path of the field to every error.
     let raw: Raw = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(json))
         .map_err(|error| ConfigError(error.to_string()))?;
     let site = site(&raw.settings);
@@ -185,44 +184,46 @@
     })
 }
 
-/// Decodes an address, naming the field it stands in.
+/// Decodes the address of a field.
 ///
 /// # Errors
-/// If it is not an IP address with a port.
+/// It is not an IP address with a port; the message names the field.
 pub fn address(field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError(format!("{field}: '{text}' is not an IP address with a port")))
 }
 
-fn site(setup: &Value) -> Site {
+fn site(settings_json: &Value) -> Site {
     let names = |path: &str| -> Vec<String> {
-        let list = setup.pointer(path).and_then(Value::as_array);
+        let list = settings_json.pointer(path).and_then(Value::as_array);
         let name = |entry: &Value| entry.get("name").unwrap_or(entry).as_str().unwrap_or("").to_owned();
         list.map(|list| list.iter().map(name).collect()).unwrap_or_default()
     };
-    let keepalive = setup.pointer("/caps/keepaliveMs").and_then(Value::as_f64);
-    let stop_sending = setup.pointer("/invariants/stopSendingWithinMs").and_then(Value::as_f64);
-    let classes = setup.pointer("/profiles").and_then(Value::as_array);
+    let keepalive = settings_json.pointer("/caps/keepaliveMs").and_then(Value::as_f64);
+    let stop_sending = settings_json.pointer("/invariants/stopSendingWithinMs").and_then(Value::as_f64);
+    let classes = settings_json.pointer("/profiles").and_then(Value::as_array);
     let deadlines = classes.into_iter().flatten().filter_map(|raw| raw.get("deadlineMs")?.as_f64());
     Site {
-        settings: settings(setup),
+        settings: settings(settings_json),
         classes: names("/profiles"),
         tenants: names("/tenants"),
         zones: names("/zones"),
-        has_load_lines: setup.pointer("/domain/tellsLoad").and_then(Value::as_bool).unwrap_or(false),
-        has_load_reports: setup.pointer("/report/how").and_then(Value::as_str) == Some("piggyback"),
+        has_load_lines: settings_json.pointer("/domain/tellsLoad").and_then(Value::as_bool).unwrap_or(false),
+        has_load_reports: settings_json.pointer("/report/how").and_then(Value::as_str) == Some("piggyback"),
         keepalive_ms: keepalive.filter(|ms| *ms > 0.0).unwrap_or(5_000.0),
         longest_deadline_ms: deadlines.fold(0.0, f64::max),
-        stop_sending_ms: stop_sending.filter(|ms| *ms >= 0.0).unwrap_or(STOP_SENDING_MS),
+        stop_sending_ms: stop_sending.filter(|ms| *ms >= 0.0).unwrap_or(DEFAULT_STOP_SENDING_MS),
     }
 }
 
-/// Reads the settings; keys that are absent, unknown or of another type keep their defaults.
-pub fn settings(setup: &Value) -> Settings {
+/// Reads the settings of the decision module. Unknown keys are ignored; a key that is absent or of the wrong type
+/// leaves its default.
+pub fn settings(settings_json: &Value) -> Settings {
     let base = Settings::default();
-    let number = |path: &str| setup.pointer(path).and_then(Value::as_f64).filter(|n| *n >= 0.0);
-    let text = |path: &str| setup.pointer(path).and_then(Value::as_str).unwrap_or("");
-    let yes = |path: &str| setup.pointer(path).and_then(Value::as_bool).unwrap_or(false);
-    let list = |path: &str| setup.pointer(path).and_then(Value::as_array).cloned().unwrap_or_default();
+    let number = |path: &str| settings_json.pointer(path).and_then(Value::as_f64).filter(|n| *n >= 0.0);
+    let text = |path: &str| settings_json.pointer(path).and_then(Value::as_str).unwrap_or("");
+    let yes = |path: &str| settings_json.pointer(path).and_then(Value::as_bool).unwrap_or(false);
+    let list =
+        |path: &str| settings_json.pointer(path).and_then(Value::as_array).cloned().unwrap_or_default();
     let aims = list("/domain/messageAimMs");
     let quotas = list("/domain/tenantQuotaConnections");
     let fields = list("/report/fields");
@@ -268,7 +269,7 @@
     }
 }
 
-/// A class that says nothing understood of its effect is taken to be unsafe to repeat.
+/// Reads one class. A class whose effect is absent or unknown is taken to be unsafe to repeat.
 fn class(raw: &Value, message_aim: Option<&Value>) -> Class {
     let base = Class::default();
     let number = |key: &str| raw.get(key).and_then(Value::as_f64).filter(|n| *n >= 0.0);
--- a/src/front.rs
+++ b/src/front.rs
@@ -1,14 +1,14 @@
-//! What a front is: a state machine for one client connection and its server-side flow. It is fed bytes and
-//! commands, and yields bytes and steps; it knows no socket.
+//! The interface of a front: a state machine for one client connection and its server-side flow. It takes bytes and
+//! commands, and yields bytes and steps for the driver. It does no I/O.
 
 use crate::api::Millis;
 use crate::broker::{Command, FrontEvent};
 
-/// Most bytes held for one side; while a buffer is fuller than this, nothing more is read for it.
+/// Limit for the bytes buffered for one side; from this fill level on, nothing more is read for it.
 pub const MAX_BUFFERED_BYTES: usize = 16 * 1024;
 
-/// A client whose first line, or stream header, is not whole by then gets its answer: owed is one within 3 s of
-/// connecting, however slowly it drips in, and a client may take 2 s to write it.
+/// Time after which a client whose first line or stream header is incomplete is sent its final answer. The answer is
+/// due within 3 s of connecting, however slowly the line arrives, and a client may take 2 s to write it.
 pub const FIRST_LINE_TIMEOUT_MS: Millis = 2_500.0;
 
 /// What happened to the connection.
@@ -16,70 +16,70 @@
 pub enum Input<'a> {
     /// The client sent bytes.
     Client(&'a [u8]),
-    /// The client will send no more.
+    /// The client has closed its write side.
     ClientEof,
-    /// The client's connection broke.
+    /// The client's connection failed.
     ClientReset,
-    /// The flow has a connection.
+    /// The flow is connected.
     MemberConnected,
     /// The flow could not be connected.
     MemberConnectFailed,
     /// The pool member sent bytes.
     Member(&'a [u8]),
-    /// All bytes for the pool member were written.
+    /// All buffered bytes for the pool member were written.
     MemberWritten,
-    /// The pool member will send no more.
+    /// The pool member has closed its write side.
     MemberEof,
-    /// The flow's connection broke.
+    /// The flow's connection failed.
     MemberReset,
-    /// The broker wants something done.
+    /// The broker has sent a command.
     Command(Command),
-    /// The deadline that the front named has come.
+    /// The time of [`Front::due`] has come.
     Tick,
 }
 
-/// What is to be done; bytes wait in [`Front::to_client`] and [`Front::to_member`].
+/// An operation for the driver; the bytes to write are in [`Front::to_client`] and [`Front::to_member`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Tell the broker.
+    /// Pass an event to the broker.
     Notify(FrontEvent),
-    /// Open a server-side flow.
+    /// Open a server-side flow to this address.
     Dial(String),
-    /// Close the flow now, whatever still waits to be written.
+    /// Close the flow now, without waiting for unwritten bytes.
     CloseMember,
-    /// Break the flow now.
+    /// Reset the flow's connection now.
     ResetMember,
-    /// End the sending on the flow once all is written.
+    /// Close the write side of the flow once all is written.
     ShutdownMember,
-    /// End the sending to the client once all is written.
+    /// Close the write side of the client's connection once all is written.
     ShutdownClient,
-    /// Break the client's connection now; nothing follows.
+    /// Reset the client's connection now; the last step.
     ResetClient,
-    /// Write what waits for the client and close its connection; nothing follows.
+    /// Write what is left for the client and close its connection; the last step.
     Finish,
     /// Write a log line.
     Log {
         /// What happened.
         what: &'static str,
-        /// More about it.
+        /// Details.
         detail: String,
     },
 }
 
-/// One client connection on a front.
+/// State machine of one client connection.
 pub trait Front {
-    /// Takes what happened.
+    /// Handles an input.
     fn take(&mut self, now: Millis, input: Input<'_>);
-    /// What to do next, in order.
+    /// The next step to execute, if any.
     fn step(&mut self) -> Option<Step>;
-    /// When [`Input::Tick`] is due.
+    /// When the driver is to send [`Input::Tick`]; `None` for never.
     fn due(&self) -> Option<Millis>;
-    /// Bytes for the client.
+    /// Bytes to be written to the client; the driver removes what is written.
     fn to_client(&mut self) -> &mut Vec<u8>;
-    /// Bytes for the pool member.
+    /// Bytes to be written to the pool member; the driver removes what is written.
     fn to_member(&mut self) -> &mut Vec<u8>;
-    /// Whether the client may be read from now.
+    /// Whether the front accepts bytes from the client now.
     fn reads_client(&self) -> bool;
-    /// Whether the pool member may be read from now.
+    /// Whether the front accepts bytes from the pool member now.
     fn reads_member(&self) -> bool;
 }
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -1,7 +1,7 @@
-//! An operator's inventory, as configuration tools keep it: members, services, teams and contracts, in YAML or
-//! in CSV, decoded into the same values as discovery's list and the settings.
+//! An operator's inventory of members, services, teams and contracts, in YAML or CSV as configuration tools write it.
+//! It is decoded into the same values as discovery's list and the settings.
 //!
-//! In CSV the first column, `kind`, says what a row is; the other columns are named as the YAML keys, and lists
+//! In CSV the first column, `kind`, gives a row's type. The other columns have the names of the YAML keys, and lists
 //! are separated by spaces.
 
 use crate::api::{Millis, Phase};
@@ -9,16 +9,16 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// What an inventory says.
+/// A decoded inventory.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Inventory {
     /// The pool.
     pub pool: PoolList,
-    /// Zone names, in the order in which members name them.
+    /// Zone names, in the order in which they first occur among the members.
     pub zones: Vec<String>,
-    /// Services.
+    /// The services that clients may ask for.
     pub services: Vec<Service>,
-    /// Teams.
+    /// The teams that clients belong to.
     pub teams: Vec<Team>,
 }
 
@@ -26,11 +26,11 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its domain.
+    /// The service's domain.
     pub name: String,
-    /// How long a client may wait for its answer.
+    /// Time within which a client must get its final answer.
     pub deadline_ms: Millis,
-    /// What a second of a connection is worth.
+    /// Worth of one second of a connection.
     #[serde(default = "one")]
     pub worth: f64,
 }
@@ -38,11 +38,11 @@
 /// A team and its contract.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// The team's name.
     pub name: String,
-    /// Domains that its clients come from.
+    /// The domains of the team's clients.
     pub domains: Vec<String>,
-    /// What was agreed with it.
+    /// The team's contract, if it has one.
     pub contract: Option<Contract>,
 }
 
@@ -123,14 +123,14 @@
     priority: Option<f64>,
 }
 
-/// Reads an inventory; its form goes by the file's ending.
+/// Reads an inventory file; its extension selects CSV or YAML.
 ///
 /// # Errors
-/// One message that names the file and the line or field at fault.
+/// The file can't be read or is invalid; the message names the file and the line or field.
 pub fn read(path: &Path) -> Result<Inventory, ListError> {
     let about = |error: &dyn std::fmt::Display| ListError(format!("{}: {error}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|error| about(&error))?;
-    let decoded = match path.extension().and_then(|ending| ending.to_str()) {
+    let decoded = match path.extension().and_then(|suffix| suffix.to_str()) {
         Some("csv") => csv(&text),
         Some("yaml" | "yml") => yaml(&text),
         _ => Err(ListError("neither .csv nor .yaml".into())),
@@ -141,7 +141,7 @@
 /// Decodes YAML.
 ///
 /// # Errors
-/// One message that names the line or field at fault.
+/// The text is invalid; the message names the line or field.
 pub fn yaml(text: &str) -> Result<Inventory, ListError> {
     let raw: Raw = serde_yaml_ng::from_str(text).map_err(|error| ListError(error.to_string()))?;
     raw.inventory()
@@ -150,7 +150,7 @@
 /// Decodes CSV.
 ///
 /// # Errors
-/// One message that names the line or field at fault.
+/// The text is invalid; the message names the line or field.
 pub fn csv(text: &str) -> Result<Inventory, ListError> {
     let mut raw = Raw::default();
     let mut reader =
@@ -161,27 +161,27 @@
         let line = record.position().map_or(0, csv::Position::line);
         let about = |what: String| ListError(format!("line {line}: {what}"));
         let row: Row = record.deserialize(Some(&headers)).map_err(|error| about(error.to_string()))?;
-        let need =
+        let required =
             |value: Option<String>, name: &str| value.ok_or_else(|| about(format!("{name} is missing")));
         match row.kind.as_str() {
             "member" => raw.members.push(RawMember {
-                name: need(row.name, "name")?,
-                dial: need(row.dial, "dial")?,
+                name: required(row.name, "name")?,
+                dial: required(row.dial, "dial")?,
                 zone: row.zone.unwrap_or_default(),
                 weight: row.weight.unwrap_or(1.0),
                 state: row.state.unwrap_or_default(),
             }),
             "service" => raw.services.push(Service {
-                name: need(row.name, "name")?,
+                name: required(row.name, "name")?,
                 deadline_ms: row.deadline_ms.ok_or_else(|| about("deadline_ms is missing".into()))?,
                 worth: row.worth.unwrap_or(1.0),
             }),
             "team" => raw.teams.push(RawTeam {
-                name: need(row.name, "name")?,
+                name: required(row.name, "name")?,
                 domains: row.domains.unwrap_or_default().split_whitespace().map(str::to_owned).collect(),
             }),
             "contract" => raw.contracts.push(RawContract {
-                team: need(row.team, "team")?,
+                team: required(row.team, "team")?,
                 guarantee: row.guarantee.unwrap_or(0.0),
                 maximum: row.maximum,
                 priority: row.priority.unwrap_or(0.0),
@@ -193,24 +193,25 @@
 }
 
 impl Raw {
+    /// Checks the entries and resolves the names by which they refer to each other.
     fn inventory(self) -> Result<Inventory, ListError> {
-        let wrong = |what: String| Err(ListError(what));
+        let invalid = |what: String| Err(ListError(what));
         let mut inventory = Inventory { services: self.services, ..Inventory::default() };
         for member in self.members {
             check_dial(&member.dial)
                 .map_err(|error| ListError(format!("members: {}: dial: {error}", member.name)))?;
             if inventory.pool.members.iter().any(|known| known.name == member.name) {
-                return wrong(format!("members: {} is there twice", member.name));
+                return invalid(format!("members: {} is there twice", member.name));
             }
-            // One that stands there by two names would be sent twice what it can do.
+            // A member listed under two names would be sent twice its capacity.
             if let Some(known) = inventory.pool.members.iter().find(|known| known.dial == member.dial) {
-                return wrong(format!(
+                return invalid(format!(
                     "members: {} and {} are both at {}",
                     known.name, member.name, member.dial
                 ));
             }
             if !(member.weight.is_finite() && member.weight > 0.0) {
-                return wrong(format!("members: {}: weight is not above zero", member.name));
+                return invalid(format!("members: {}: weight is not above zero", member.name));
             }
             if !inventory.zones.contains(&member.zone) {
                 inventory.zones.push(member.zone.clone());
@@ -231,21 +232,21 @@
         inventory.pool.whole = true;
         for service in &inventory.services {
             if !(service.deadline_ms.is_finite() && service.deadline_ms >= 100.0) {
-                return wrong(format!("services: {}: deadline_ms is under 100", service.name));
+                return invalid(format!("services: {}: deadline_ms is under 100", service.name));
             }
         }
         if inventory.services.is_empty() {
-            return wrong("services: none".into());
+            return invalid("services: none".into());
         }
         for team in self.teams {
             if inventory.teams.iter().any(|known| known.name == team.name) {
-                return wrong(format!("teams: {} is there twice", team.name));
+                return invalid(format!("teams: {} is there twice", team.name));
             }
             inventory.teams.push(Team { name: team.name, domains: team.domains, contract: None });
         }
         for raw in self.contracts {
             let Some(team) = inventory.teams.iter_mut().find(|team| team.name == raw.team) else {
-                return wrong(format!("contracts: no team {}", raw.team));
+                return invalid(format!("contracts: no team {}", raw.team));
             };
             let contract = Contract {
                 guarantee: raw.guarantee,
@@ -253,10 +254,10 @@
                 priority: raw.priority,
             };
             if !(contract.guarantee >= 0.0 && contract.maximum >= contract.guarantee) {
-                return wrong(format!("contracts: {}: guarantee is under 0 or over maximum", raw.team));
+                return invalid(format!("contracts: {}: guarantee is under 0 or over maximum", raw.team));
             }
             if team.contract.replace(contract).is_some() {
-                return wrong(format!("contracts: {} has two", raw.team));
+                return invalid(format!("contracts: {} has two", raw.team));
             }
         }
         Ok(inventory)
--- a/src/inventory/tests.rs
+++ b/src/inventory/tests.rs
@@ -23,7 +23,7 @@
 ";
 
 #[test]
-fn both_forms_say_the_same() {
+fn yaml_and_csv_decode_to_the_same_inventory() {
     let inventory = yaml(YAML).unwrap();
     assert_eq!(inventory, csv(CSV).unwrap());
     assert_eq!(inventory.zones, ["east", "west"]);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn errors_name_what_is_invalid() {
     for (from, to, named) in [
         ("127.0.0.1:5302", "chat-b.example:5302", "chat-b"),
         ("chat-b", "chat-a", "twice"),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! hopmoor is a broker for long-lived connections: a decision module, a core that keeps the rules, and two
-//! fronts on it. The README tells how the modules fit; what follows is the decision module.
+//! hopmoor is a broker for long-lived connections. It has a decision module, a core that enforces the protocol's rules,
+//! and two fronts. The README describes how the modules fit together; what follows is the decision module.
 //!
-//! The mechanism is that of King, Song and Dias (IBM RC21881): each interval a gateway forecasts every
-//! tenant's load, budgets guarantees first and spare capacity by priority, caps a tenant's connections at its
-//! budget over the minimum rate of one, paces those that queue, and places admitted ones by weighted round
-//! robin. The module does no I/O, has no clock and no threads: what embeds it brings events and
-//! carries out actions.
+//! The mechanism is that of King, Song and Dias (IBM RC21881). In each interval a gateway forecasts the load of every
+//! tenant. It budgets capacity to guarantees first, and spare capacity by priority. It limits a tenant's connections to
+//! its budget divided by the minimum rate of a connection, paces queued connections, and places admitted ones by
+//! weighted round robin. The module does no I/O and has no clock and no threads: its embedder passes it events and
+//! executes its actions.
 //!
 //! ```
 //! use hopmoor::{Action, Balancer, BackendId, BackendInfo, Event, ListScope, Phase, Request, RequestId};
@@ -22,7 +22,7 @@
 //!     started_at: None,
 //! }];
 //! balancer.handle(0.0, Event::Backends { scope: ListScope::Whole, entries }, &mut actions);
-//! actions.clear(); // a relay would set the timers asked for here
+//! actions.clear(); // a node would set the requested timers here
 //! let request = Request {
 //!     id: RequestId(1),
 //!     tenant: TenantId(0),
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The hopmoor node: command line.
+//! Command line of the hopmoor node.
 
 use hopmoor::config;
 use hopmoor::net::{self, FrontConfig, LogFormat};
@@ -13,135 +13,135 @@
 
 commands:
   serve     run a node; it reads the file that NODE_CONFIG names
-  check     read that file, say what is wrong with it, and end
+  check     validate that file and exit
   version   print the version
   help      print this
 
 options:
   --config FILE         read this file instead of the one that NODE_CONFIG names
-  --operator FILE       be a node set up by this operator's file
-  --xmpp FILE           the same, as older set-ups have it
-  --log-format FORMAT   text (the default) or json: one object a line
+  --operator FILE       run a node from this operator file
+  --xmpp FILE           older name of --operator
+  --log-format FORMAT   text (the default) or json: one object per line
 
 environment:
   NODE_CONFIG         the node's configuration
-  NODE_ADMIN          where operators call, unless the file says so
-  NODE_PASSED_SOCKET  a descriptor on which clients connect, in place of a listener
+  NODE_ADMIN          address of the admin endpoint, unless the file sets it
+  NODE_PASSED_SOCKET  number of an open listening socket for clients, used instead of opening one
   HOPMOOR_LOG_FORMAT  as --log-format
 
-hopmoor COMMAND --help tells what belongs to a command.
+hopmoor COMMAND --help describes the options of a command.
 ";
 
-const SERVE: &str = "\
+const SERVE_USAGE: &str = "\
 hopmoor serve: run a node until SIGTERM or SIGINT
 
 usage: hopmoor serve [--config FILE | --operator FILE] [--log-format FORMAT]
 
   --config FILE         the platform's configuration; without it NODE_CONFIG names one
-  --operator FILE       an operator's file: XMPP with an inventory, or the platform's front
-  --xmpp FILE           the same, as older set-ups have it
-  --log-format FORMAT   text (the default) or json: one object a line, with node, incarnation and RFC 3339 time
+  --operator FILE       an operator file: XMPP with an inventory, or the platform's front
+  --xmpp FILE           older name of --operator
+  --log-format FORMAT   text (the default) or json: one object per line, with node, incarnation and RFC 3339 time
 
 environment: NODE_CONFIG, NODE_ADMIN, NODE_PASSED_SOCKET, HOPMOOR_LOG_FORMAT (see hopmoor help)
-signals: SIGUSR1 prints the counters, SIGHUP reads configuration, inventory and fleet keys anew
+signals: SIGUSR1 logs the counters, SIGHUP reloads configuration, inventory and fleet keys
 ";
 
-const CHECK: &str = "\
-hopmoor check: read a node's files, say what is wrong with them, and end
+const CHECK_USAGE: &str = "\
+hopmoor check: validate a node's files and exit
 
 usage: hopmoor check [--config FILE | --operator FILE]
 
   --config FILE     the platform's configuration; without it NODE_CONFIG names one
-  --operator FILE   an operator's file, with the inventory, configuration and keys that it names
-  --xmpp FILE       the same, as older set-ups have it
+  --operator FILE   an operator file, with the inventory, configuration and keys that it names
+  --xmpp FILE       older name of --operator
 
-Ends with 0 if all is good, 1 with one message if not.
+Exit status: 0 if all files are valid, 1 with one message if not.
 ";
 
 fn main() -> ExitCode {
     let mut args = pico_args::Arguments::from_env();
-    let asks_help = args.contains(["-h", "--help"]);
+    let wants_help = args.contains(["-h", "--help"]);
     let command = match args.subcommand() {
         Ok(Some(command)) => command,
-        Ok(None) if asks_help => "help".to_owned(),
+        Ok(None) if wants_help => "help".to_owned(),
         Ok(None) if args.contains(["-V", "--version"]) => "version".to_owned(),
-        Ok(None) => return usage("no command"),
-        Err(error) => return usage(&error.to_string()),
+        Ok(None) => return usage_error("no command"),
+        Err(error) => return usage_error(&error.to_string()),
     };
-    if asks_help {
+    if wants_help {
         return help(&command);
     }
     let file: Option<PathBuf> = match args.opt_value_from_str("--config") {
         Ok(file) => file,
-        Err(error) => return usage(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
-    let mut operators: Vec<PathBuf> = Vec::new();
+    let mut operator_files: Vec<PathBuf> = Vec::new();
     for name in ["--operator", "--xmpp"] {
         match args.opt_value_from_str(name) {
-            Ok(file) => operators.extend(file),
-            Err(error) => return usage(&error.to_string()),
+            Ok(file) => operator_files.extend(file),
+            Err(error) => return usage_error(&error.to_string()),
         }
     }
-    if operators.len() + usize::from(file.is_some()) > 1 {
-        return usage("--config, --operator and --xmpp exclude each other");
+    if operator_files.len() + usize::from(file.is_some()) > 1 {
+        return usage_error("--config, --operator and --xmpp exclude each other");
     }
-    let operator = operators.pop();
-    let named = match args.opt_value_from_str::<_, String>("--log-format") {
+    let operator = operator_files.pop();
+    let format_name = match args.opt_value_from_str::<_, String>("--log-format") {
         Ok(format) => {
             format.or_else(|| std::env::var("HOPMOOR_LOG_FORMAT").ok()).filter(|text| !text.is_empty())
         }
-        Err(error) => return usage(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
-    let format = match named.as_deref().map_or(Ok(LogFormat::Text), str::parse) {
+    let format = match format_name.as_deref().map_or(Ok(LogFormat::Text), str::parse) {
         Ok(format) => format,
-        Err(error) => return usage(&format!("{error}, not '{}'", named.unwrap_or_default())),
+        Err(error) => return usage_error(&format!("{error}, not '{}'", format_name.unwrap_or_default())),
     };
-    if let Some(more) = args.finish().first() {
-        return usage(&format!("unknown argument '{}'", more.to_string_lossy()));
+    if let Some(argument) = args.finish().first() {
+        return usage_error(&format!("unknown argument '{}'", argument.to_string_lossy()));
     }
     match command.as_str() {
         "version" => println!("hopmoor {}", env!("CARGO_PKG_VERSION")),
         "help" => print!("{USAGE}"),
-        "check" | "serve" => return with_config(&command, file, operator, format),
-        other => return usage(&format!("unknown command '{other}'")),
+        "check" | "serve" => return run_with_config(&command, file, operator, format),
+        other => return usage_error(&format!("unknown command '{other}'")),
     }
     ExitCode::SUCCESS
 }
 
 fn help(command: &str) -> ExitCode {
     match command {
-        "serve" => print!("{SERVE}"),
-        "check" => print!("{CHECK}"),
+        "serve" => print!("{SERVE_USAGE}"),
+        "check" => print!("{CHECK_USAGE}"),
         "version" | "help" => print!("{USAGE}"),
-        other => return usage(&format!("unknown command '{other}'")),
+        other => return usage_error(&format!("unknown command '{other}'")),
     }
     ExitCode::SUCCESS
 }
 
-fn with_config(
+fn run_with_config(
     command: &str,
     file: Option<PathBuf>,
     operator: Option<PathBuf>,
     format: LogFormat,
 ) -> ExitCode {
-    let named = operator.clone().or(file).or_else(|| std::env::var_os("NODE_CONFIG").map(PathBuf::from));
-    let Some(file) = named else {
-        return usage("neither --config, --operator nor NODE_CONFIG names a file");
+    let chosen = operator.clone().or(file).or_else(|| std::env::var_os("NODE_CONFIG").map(PathBuf::from));
+    let Some(file) = chosen else {
+        return usage_error("neither --config, --operator nor NODE_CONFIG names a file");
     };
-    let read = match operator {
+    let loaded = match operator {
         None => config::read(&file).map(|config| (config, FrontConfig::Platform(file.clone()))),
-        Some(_) => operator::read(&file).map(|found| match found.front {
-            Front::Platform(config) => (found.config, FrontConfig::Platform(config)),
-            Front::Xmpp(realm, inventory) => (found.config, FrontConfig::Xmpp(realm, inventory)),
+        Some(_) => operator::read(&file).map(|setup| match setup.front {
+            Front::Platform(config) => (setup.config, FrontConfig::Platform(config)),
+            Front::Xmpp(realm, inventory) => (setup.config, FrontConfig::Xmpp(realm, inventory)),
         }),
     };
-    let read = read.and_then(|(mut config, front_config)| {
-        // What is not Unicode is no address and no number either, and is refused as such.
+    let loaded = loaded.and_then(|(mut config, front_config)| {
+        // A value that is not Unicode is rejected below like any other invalid address or number.
         config.take_environment(|name| Some(std::env::var_os(name)?.to_string_lossy().into_owned()))?;
         Ok((config, front_config))
     });
-    let (config, front_config) = match read {
-        Ok(read) => read,
+    let (config, front_config) = match loaded {
+        Ok(loaded) => loaded,
         Err(error) => {
             eprintln!("hopmoor: {error}");
             return ExitCode::FAILURE;
@@ -152,7 +152,7 @@
         return ExitCode::SUCCESS;
     }
     let clock = net::Clock::new();
-    let (log, _written_at_the_end) = net::logger(format, &config.name, clock.incarnation());
+    let (log, _flush_guard) = net::logger(format, &config.name, clock.incarnation());
     match net::serve(config, front_config, clock, log.clone()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -162,7 +162,7 @@
     }
 }
 
-fn usage(what: &str) -> ExitCode {
-    eprintln!("hopmoor: {what}\n\n{USAGE}");
+fn usage_error(message: &str) -> ExitCode {
+    eprintln!("hopmoor: {message}\n\n{USAGE}");
     ExitCode::from(2)
 }
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -197,7 +197,8 @@
     let Ports { udp, tcp } = ports;
     let udp = Rc::new(udp);
     let address = udp.local_addr()?;
-    let keys = operator::fleet_keys(&config.keys).map_err(|error| io::Error::other(error.to_string()))?;
+    let keys =
+        operator::read_fleet_keys(&config.keys).map_err(|error| io::Error::other(error.to_string()))?;
     let mut seed = [0; 32];
     getrandom::fill(&mut seed).map_err(|error| io::Error::other(error.to_string()))?;
     let now = node.clock.now() as u64;
@@ -387,7 +388,7 @@
 /// Reloads the fleet keys and updates the announced digest of the configuration.
 pub(super) fn reload(node: &Rc<Node>) {
     let Some(link) = node.fleet.borrow().clone() else { return };
-    match operator::fleet_keys(&link.keys) {
+    match operator::read_fleet_keys(&link.keys) {
         Ok(keys) => {
             info!(node.log, "fleet keys reloaded");
             link.fleet.borrow_mut().set_keys(keys);
--- a/src/net/probe.rs
+++ b/src/net/probe.rs
@@ -1,4 +1,4 @@
-//! Driver of probes: one task and one connection per member, connection open between probes.
+//! Driver of probes: one task and one connection per member, which stays open between probes.
 
 use super::Node;
 use crate::api::{BackendId, Outcome};
@@ -42,12 +42,12 @@
         // A restarted member may have another address.
         let mut stream = connection.take().filter(|(known, _)| *known == address).map(|(_, stream)| stream);
         let result = tokio::time::timeout(PROBE_TIMEOUT, probe_once(&mut stream, address)).await;
-        let (outcome, report) = result.unwrap_or((Outcome::TimedOut, None));
+        let (outcome, answer) = result.unwrap_or((Outcome::TimedOut, None));
         // Closed unless the probe succeeded, or a late answer would be taken for the answer to the next probe.
         connection = stream.filter(|_| outcome == Outcome::Ok).map(|stream| (address, stream));
-        let (report, message_ms) =
-            (report.map(|report| report.report), report.and_then(|report| report.message_ms));
-        node.with(|broker, now| broker.probed(now, member, outcome, report, message_ms));
+        let (report, latency_ms) =
+            (answer.map(|answer| answer.report), answer.and_then(|answer| answer.message_ms));
+        node.with(|broker, now| broker.probed(now, member, outcome, report, latency_ms));
     }
     requests.close();
     drop(connection);
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -23,7 +23,7 @@
                 Ok(new) => apply(node, current, new),
                 Err(error) => report_failure(node, "configuration not taken", &error),
             },
-            Source::Inventory(file) => match operator::pool(file) {
+            Source::Inventory(file) => match operator::read_pool(file) {
                 Ok(list) => {
                     let members = list.members.len();
                     if let Err(invalid) = node.with(|broker, now| broker.listed(now, list, now)) {
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -1,4 +1,4 @@
-//! One client connection: reads and writes for its front.
+//! Driver of one client connection and its server-side flow: does the I/O that the front asks for.
 
 use super::Node;
 use super::descriptors::NO_ROOM_RETRY_MS;
@@ -16,20 +16,29 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// The last bytes for a client are written within this.
-const FLUSH: Duration = Duration::from_millis(1_000);
-/// Pause between two reads of what a client still sends after its last word.
-const SINK_PAUSE: Duration = Duration::from_millis(5);
+/// Time to write the last bytes for a client and to read what it still sends.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Pause between two reads of what a client still sends after its final response.
+const DISCARD_PAUSE: Duration = Duration::from_millis(5);
 
 type Connecting = Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>;
 
-enum Member {
+/// The server-side flow.
+enum Flow {
     None,
     Connecting(Connecting),
-    Open { stream: TcpStream, ended: bool, end: bool, told: bool },
+    /// `eof`: the member has closed its write side. `shut_when_written`: to be closed for writing once all is written.
+    /// `reported_written`: the front was told that its bytes were written, so the request has begun.
+    Open {
+        stream: TcpStream,
+        eof: bool,
+        shut_when_written: bool,
+        reported_written: bool,
+    },
 }
 
-enum Happened {
+/// What the session was woken by.
+enum SessionEvent {
     Command(Option<Command>),
     Connected(io::Result<TcpStream>),
     Client(io::Result<tokio::io::Ready>),
@@ -37,6 +46,7 @@
     Tick,
 }
 
+/// Runs a session until its connection is closed.
 pub(super) async fn run(
     node: Rc<Node>,
     id: TransactionId,
@@ -46,24 +56,24 @@
     mut commands: UnboundedReceiver<Command>,
 ) {
     let _ = client.set_nodelay(true);
-    let end = drive(&node, id, peer, &client, front.as_mut(), &mut commands).await;
-    match end {
+    let outcome = drive(&node, id, peer, &client, front.as_mut(), &mut commands).await;
+    match outcome {
         End::Finish => {
             node.descriptors.borrow_mut().linger(id);
-            let mut last = std::mem::take(front.to_client());
-            // One that has given way already still hears why, as far as its socket takes it at once.
-            let _ = write(&client, &mut last);
+            let mut unsent = std::mem::take(front.to_client());
+            // An evicted client is sent its rejection as far as its socket takes it at once.
+            let _ = write(&client, &mut unsent);
             tokio::select! {
-                () = finish(client, last) => {}
-                // It had to give way to others.
-                () = given_way(&mut commands) => {}
+                () = finish(client, unsent) => {}
+                // Evicted by the descriptor budget.
+                () = evicted_by_budget(&mut commands) => {}
             }
         }
         End::Reset => {
             let _ = client.set_zero_linger();
         }
     }
-    // Only now: a node that leaves must not end while a last word is still being written.
+    // Released only now: a node that shuts down must not exit while a final response is still being written.
     node.descriptors.borrow_mut().release(id);
 }
 
@@ -72,10 +82,10 @@
     Reset,
 }
 
-/// Writes what is left and closes; what the client still sends is read, or the kernel would answer it with a
-/// reset that may overtake the last bytes.
+/// Writes what is left and closes the connection. What the client still sends is read and discarded, or the kernel
+/// would answer it with a reset, which may reach the client before the last bytes.
 async fn finish(mut client: TcpStream, bytes: Vec<u8>) {
-    let last = async {
+    let close = async {
         client.write_all(&bytes).await?;
         client.shutdown().await?;
         let mut sink = [0u8; 4 * 1024];
@@ -83,24 +93,23 @@
             client.readable().await?;
             match client.try_read(&mut sink) {
                 Ok(0) => return Ok(()),
-                // Guards against clients that send on at full speed: what is read of them costs time that
-                // others need.
-                Ok(_) => tokio::time::sleep(SINK_PAUSE).await,
+                // Guards against clients that go on sending at full speed: reading it costs time that others need.
+                Ok(_) => tokio::time::sleep(DISCARD_PAUSE).await,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err::<(), io::Error>(error),
             }
         }
     };
-    let _ = tokio::time::timeout(FLUSH, last).await;
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, close).await;
 }
 
-/// Ends when the session has had to give way.
-async fn given_way(commands: &mut UnboundedReceiver<Command>) {
+/// Completes when the descriptor budget evicts the session by dropping its command sender.
+async fn evicted_by_budget(commands: &mut UnboundedReceiver<Command>) {
     while commands.recv().await.is_some() {}
 }
 
-/// Whether there is room for the transaction that the client asks for.
-fn has_room(node: &Rc<Node>, id: TransactionId, peer: SocketAddr, class: ClassId) -> bool {
+/// Whether the descriptor budget has room for the transaction that the client requests.
+fn admit_transaction(node: &Rc<Node>, id: TransactionId, peer: SocketAddr, class: ClassId) -> bool {
     let (room, evicted) = node.descriptors.borrow_mut().open(node.clock.now(), id);
     node.report_evicted(evicted);
     if !room {
@@ -109,6 +118,7 @@
     room
 }
 
+/// Drives the front until its last step.
 async fn drive(
     node: &Rc<Node>,
     id: TransactionId,
@@ -117,46 +127,46 @@
     front: &mut dyn Front,
     commands: &mut UnboundedReceiver<Command>,
 ) -> End {
-    let mut server = Member::None;
-    let (mut client_ended, mut end_client, mut client_shut) = (false, false, false);
+    let mut flow = Flow::None;
+    let (mut client_eof, mut shut_client_when_written, mut client_write_closed) = (false, false, false);
     let mut buffer = vec![0u8; 4 * 1024];
-    let mut asked = false;
+    let mut requested = false;
     loop {
         while let Some(step) = front.step() {
             match step {
-                Step::Notify(said) => {
-                    asked |= matches!(said, FrontEvent::ClientRequest(_));
-                    if let FrontEvent::ClientRequest(ask) = &said
-                        && !has_room(node, id, peer, ask.class)
+                Step::Notify(front_event) => {
+                    requested |= matches!(front_event, FrontEvent::ClientRequest(_));
+                    if let FrontEvent::ClientRequest(request) = &front_event
+                        && !admit_transaction(node, id, peer, request.class)
                     {
                         front.take(node.clock.now(), Input::Command(Command::Reject(NO_ROOM_RETRY_MS)));
                     } else {
-                        node.on_front_event(id, said);
+                        node.on_front_event(id, front_event);
                     }
                 }
                 Step::Dial(dial) => {
-                    server = Member::Connecting(Box::pin(dial_to(dial)));
-                    catch_up(client, front, node.clock.now(), &mut buffer, &mut client_ended);
+                    flow = Flow::Connecting(Box::pin(connect_to(dial)));
+                    read_client_now(client, front, node.clock.now(), &mut buffer, &mut client_eof);
                 }
                 Step::CloseMember => {
-                    last_words(&server, front.to_member());
-                    server = Member::None;
+                    flush_begun_request(&flow, front.to_member());
+                    flow = Flow::None;
                 }
                 Step::ResetMember => {
-                    if let Member::Open { stream, .. } = &server {
+                    if let Flow::Open { stream, .. } = &flow {
                         let _ = stream.set_zero_linger();
                     }
-                    server = Member::None;
+                    flow = Flow::None;
                 }
                 Step::ShutdownMember => {
-                    if let Member::Open { end, .. } = &mut server {
-                        *end = true;
+                    if let Flow::Open { shut_when_written, .. } = &mut flow {
+                        *shut_when_written = true;
                     }
                 }
-                Step::ShutdownClient => end_client = true,
+                Step::ShutdownClient => shut_client_when_written = true,
                 Step::ResetClient => return End::Reset,
                 Step::Finish => {
-                    last_words(&server, front.to_member());
+                    flush_begun_request(&flow, front.to_member());
                     return End::Finish;
                 }
                 Step::Log { what, detail } if node.may_log() => {
@@ -165,74 +175,72 @@
                 Step::Log { .. } => {}
             }
         }
-        // Writes are tried at once: most of the time the socket takes them.
+        // Written without waiting for readiness, as the socket mostly has room.
         if let Err(error) = write(client, front.to_client()) {
             info!(node.log, "client write failed"; "transaction" => id.0, "error" => %error);
             front.to_client().clear();
             front.take(node.clock.now(), Input::ClientReset);
             continue;
         }
-        if end_client && !client_shut && front.to_client().is_empty() {
-            client_shut = shut(client);
+        if shut_client_when_written && !client_write_closed && front.to_client().is_empty() {
+            client_write_closed = shut_write(client);
         }
-        if let Member::Open { stream, end, told, .. } = &mut server {
+        if let Flow::Open { stream, shut_when_written, reported_written, .. } = &mut flow {
             let waited = !front.to_member().is_empty();
             if write(stream, front.to_member()).is_err() {
-                server = Member::None;
+                flow = Flow::None;
                 front.to_member().clear();
                 front.take(node.clock.now(), Input::MemberReset);
                 continue;
             }
-            if front.to_member().is_empty() && (waited || !*told) {
-                *told = true;
+            if front.to_member().is_empty() && (waited || !*reported_written) {
+                *reported_written = true;
                 front.take(node.clock.now(), Input::MemberWritten);
-                // The broker hears of it now, not with the next byte: a silent member's may never come.
+                // Reported now, not with the member's next byte, which may never come.
                 continue;
             }
-            if *end && front.to_member().is_empty() {
-                *end = false;
-                shut(stream);
+            if *shut_when_written && front.to_member().is_empty() {
+                *shut_when_written = false;
+                shut_write(stream);
             }
         }
-        let client_interest = interest(!client_ended && front.reads_client(), !front.to_client().is_empty());
-        let server_interest = match &server {
-            Member::Open { ended, .. } => {
-                interest(!ended && front.reads_member(), !front.to_member().is_empty())
-            }
+        let client_interest = interest(!client_eof && front.reads_client(), !front.to_client().is_empty());
+        let member_interest = match &flow {
+            Flow::Open { eof, .. } => interest(!eof && front.reads_member(), !front.to_member().is_empty()),
             _ => None,
         };
         let due = front.due().map(|at| node.clock.instant(at));
-        let happened = tokio::select! {
+        let event = tokio::select! {
             biased;
-            command = commands.recv() => Happened::Command(command),
-            ready = ready(client, client_interest) => Happened::Client(ready),
-            happened = server_event(&mut server, server_interest) => happened,
-            () = sleep(due) => Happened::Tick,
+            command = commands.recv() => SessionEvent::Command(command),
+            ready = ready(client, client_interest) => SessionEvent::Client(ready),
+            event = member_event(&mut flow, member_interest) => event,
+            () = sleep(due) => SessionEvent::Tick,
         };
         let now = node.clock.now();
-        match happened {
-            // The node has let go of this session; it never does that before the front is done.
-            Happened::Command(None) => return End::Finish,
-            Happened::Command(Some(command)) => front.take(now, Input::Command(command)),
-            Happened::Connected(Ok(stream)) => {
+        match event {
+            // The descriptor budget closes a session's channel only once its front is done.
+            SessionEvent::Command(None) => return End::Finish,
+            SessionEvent::Command(Some(command)) => front.take(now, Input::Command(command)),
+            SessionEvent::Connected(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
-                server = Member::Open { stream, ended: false, end: false, told: false };
+                flow = Flow::Open { stream, eof: false, shut_when_written: false, reported_written: false };
                 front.take(now, Input::MemberConnected);
-                catch_up(client, front, now, &mut buffer, &mut client_ended);
+                read_client_now(client, front, now, &mut buffer, &mut client_eof);
             }
-            Happened::Connected(Err(_)) => {
-                server = Member::None;
+            SessionEvent::Connected(Err(_)) => {
+                flow = Flow::None;
                 front.take(now, Input::MemberConnectFailed);
             }
-            Happened::Client(Ok(ready)) if !ready.is_readable() && !ready.is_read_closed() => {}
-            Happened::Client(Ok(_)) if client_ended || !front.reads_client() => {}
-            Happened::Client(Ok(_)) => match client.try_read(&mut buffer) {
+            SessionEvent::Client(Ok(ready)) if !ready.is_readable() && !ready.is_read_closed() => {}
+            SessionEvent::Client(Ok(_)) if client_eof || !front.reads_client() => {}
+            SessionEvent::Client(Ok(_)) => match client.try_read(&mut buffer) {
                 Ok(0) => {
-                    client_ended = true;
+                    client_eof = true;
                     front.take(now, Input::ClientEof);
                 }
                 Ok(read) => {
-                    if !asked {
+                    if !requested {
                         node.descriptors.borrow_mut().received_bytes(now, id);
                     }
                     front.take(now, Input::Client(&buffer[..read]));
@@ -240,73 +248,80 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => front.take(now, Input::ClientReset),
             },
-            Happened::Client(Err(_)) => front.take(now, Input::ClientReset),
-            Happened::Member(ready) => server_ready(front, &mut server, now, &mut buffer, ready),
-            Happened::Tick => front.take(now, Input::Tick),
+            SessionEvent::Client(Err(_)) => front.take(now, Input::ClientReset),
+            SessionEvent::Member(ready) => member_ready(front, &mut flow, now, &mut buffer, ready),
+            SessionEvent::Tick => front.take(now, Input::Tick),
         }
     }
 }
 
-fn server_ready(
+fn member_ready(
     front: &mut dyn Front,
-    server: &mut Member,
+    flow: &mut Flow,
     now: Millis,
     buffer: &mut [u8],
     ready: io::Result<tokio::io::Ready>,
 ) {
-    let Member::Open { stream, ended, .. } = server else { return };
+    let Flow::Open { stream, eof, .. } = flow else { return };
     let read = match ready {
         Ok(ready) if !ready.is_readable() && !ready.is_read_closed() => return,
-        Ok(_) if *ended || !front.reads_member() => return,
+        Ok(_) if *eof || !front.reads_member() => return,
         Ok(_) => stream.try_read(buffer),
         Err(error) => Err(error),
     };
     match read {
         Ok(0) => {
-            *ended = true;
+            *eof = true;
             front.take(now, Input::MemberEof);
         }
         Ok(read) => front.take(now, Input::Member(&buffer[..read])),
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
         Err(_) => {
-            *server = Member::None;
+            *flow = Flow::None;
             front.take(now, Input::MemberReset);
         }
     }
 }
 
-/// Before a flow is begun, and before its request is written: hears at once what the client has done by now, also where
-/// the runtime has not told of it yet. Guards against an attempt for a client that has gone.
-fn catch_up(client: &TcpStream, front: &mut dyn Front, now: Millis, buffer: &mut [u8], ended: &mut bool) {
-    // Bounded, as one may send on without end.
+/// Reads the client's socket directly before a flow is opened and before its request is written, as the runtime may not
+/// have reported the client's data or EOF yet. Guards against attempts for clients that are gone.
+fn read_client_now(
+    client: &TcpStream,
+    front: &mut dyn Front,
+    now: Millis,
+    buffer: &mut [u8],
+    eof: &mut bool,
+) {
+    // At most two reads, as a client may send without end.
     for _ in 0..2 {
-        if *ended || !front.reads_client() {
+        if *eof || !front.reads_client() {
             return;
         }
         match (&*socket2::SockRef::from(client)).read(buffer) {
             Ok(0) => {
-                *ended = true;
+                *eof = true;
                 front.take(now, Input::ClientEof);
             }
             Ok(read) => front.take(now, Input::Client(&buffer[..read])),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
             Err(_) => {
-                *ended = true;
+                *eof = true;
                 front.take(now, Input::ClientReset);
             }
         }
     }
 }
 
-async fn dial_to(dial: String) -> io::Result<TcpStream> {
+async fn connect_to(dial: String) -> io::Result<TcpStream> {
     let address: SocketAddr =
         dial.parse().map_err(|_| io::Error::new(io::ErrorKind::InvalidInput, "not an address"))?;
     TcpStream::connect(address).await
 }
 
-/// What still waits for a member goes out as far as its socket takes it at once; but what was not begun is not begun now.
-fn last_words(server: &Member, bytes: &mut Vec<u8>) {
-    if let Member::Open { stream, told: true, .. } = server
+/// Writes the unsent rest for a member as far as its socket takes it at once. A request of which nothing was written is
+/// dropped.
+fn flush_begun_request(flow: &Flow, bytes: &mut Vec<u8>) {
+    if let Flow::Open { stream, reported_written: true, .. } = flow
         && !bytes.is_empty()
     {
         let _ = stream.try_write(bytes);
@@ -314,7 +329,7 @@
     bytes.clear();
 }
 
-/// Writes as much as the socket takes now.
+/// Writes as much as the socket takes without blocking.
 fn write(stream: &TcpStream, bytes: &mut Vec<u8>) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.try_write(bytes) {
@@ -326,8 +341,8 @@
     Ok(())
 }
 
-/// Ends the sending only.
-fn shut(stream: &TcpStream) -> bool {
+/// Closes the write side of a connection.
+fn shut_write(stream: &TcpStream) -> bool {
     let _ = socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write);
     true
 }
@@ -348,11 +363,11 @@
     }
 }
 
-async fn server_event(server: &mut Member, interest: Option<Interest>) -> Happened {
-    match server {
-        Member::None => std::future::pending().await,
-        Member::Connecting(connecting) => Happened::Connected(connecting.await),
-        Member::Open { stream, .. } => Happened::Member(ready(stream, interest).await),
+async fn member_event(flow: &mut Flow, interest: Option<Interest>) -> SessionEvent {
+    match flow {
+        Flow::None => std::future::pending().await,
+        Flow::Connecting(connecting) => SessionEvent::Connected(connecting.await),
+        Flow::Open { stream, .. } => SessionEvent::Member(ready(stream, interest).await),
     }
 }
 
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,5 +1,6 @@
-//! An operator's file. It sets up the XMPP front with an inventory in place of the platform's configuration, or the
-//! platform's front with a configuration in the platform's form; and for either what the platform does not give.
+//! The operator file. It configures either the XMPP front with an inventory, or the platform's front by naming a
+//! configuration file of the platform's form. For both it sets what the platform's configuration can't: records and
+//! fleet.
 
 use crate::api::{Class, ListedWeight, Millis, Settings, Tenant};
 use crate::config::{self, Config, ConfigError, Fleet, Records, Site, address};
@@ -13,21 +14,21 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What an operator's file sets up.
+/// The node that an operator file describes.
 #[derive(Clone, Debug)]
-pub struct Operator {
-    /// The node, as the platform would configure it.
+pub struct OperatorSetup {
+    /// The node's configuration.
     pub config: Config,
-    /// Its front.
+    /// The node's front.
     pub front: Front,
 }
 
-/// The front that an operator's file sets up.
+/// The front that an operator file selects.
 #[derive(Clone, Debug)]
 pub enum Front {
-    /// The platform's protocol, by this configuration.
+    /// The platform's protocol, with this configuration file.
     Platform(PathBuf),
-    /// XMPP, with an inventory.
+    /// XMPP, with this inventory file.
     Xmpp(XmppSettings, PathBuf),
 }
 
@@ -61,40 +62,41 @@
 }
 
 impl RawAgree {
-    fn check(self, name: &str, above: &Path, wrong: &mut Vec<String>) -> config::Agreement {
+    /// Checks all fields and adds a message to `errors` for each that is invalid.
+    fn check(self, name: &str, base_dir: &Path, errors: &mut Vec<String>) -> config::Agreement {
         let RawAgree { voters, folder } = self;
         let names: std::collections::BTreeSet<&String> = voters.iter().collect();
         if ![1, 3, 5, 7].contains(&voters.len()) || names.len() < voters.len() {
-            wrong.push("fleet.agree.voters: 1, 3, 5 or 7 different names are wanted".into());
+            errors.push("fleet.agree.voters: 1, 3, 5 or 7 different names are wanted".into());
         }
         for (n, _) in voters.iter().enumerate().filter(|(_, voter)| !hopmoor_fleet::identity::is_name(voter))
         {
-            wrong.push(format!("fleet.agree.voters[{n}]: not a node's name"));
+            errors.push(format!("fleet.agree.voters[{n}]: not a node's name"));
         }
         if folder.is_none() && voters.iter().any(|voter| voter == name) {
-            wrong.push("fleet.agree.folder: wanted, since this node votes".into());
+            errors.push("fleet.agree.folder: wanted, since this node votes".into());
         }
-        config::Agreement { voters, folder: above.join(folder.unwrap_or_default()) }
+        config::Agreement { voters, folder: base_dir.join(folder.unwrap_or_default()) }
     }
 }
 
-/// Seeds, at most: any of them will do.
-const SEEDS: usize = 64;
-/// Bytes of a zone's name, at most: it goes round in words of limited size.
-const ZONE_BYTES: usize = 64;
+/// Maximum number of seeds; one that answers is enough.
+const MAX_SEEDS: usize = 64;
+/// Maximum length of a zone's name, as gossip messages are limited in size.
+const MAX_ZONE_BYTES: usize = 64;
 
 impl RawFleet {
-    /// Checks all fields, and names each that is wrong.
-    fn check(self, name: &str, above: &Path, files: Vec<PathBuf>) -> Result<Fleet, ConfigError> {
-        let mut wrong = Vec::new();
+    /// Checks all fields; the error names each that is invalid.
+    fn check(self, name: &str, base_dir: &Path, files: Vec<PathBuf>) -> Result<Fleet, ConfigError> {
+        let mut errors = Vec::new();
         let mut at = |field: &str, text: &str| -> Option<SocketAddr> {
             let read = address(&format!("fleet.{field}"), text);
-            // Nobody can be reached at any address at all, or at port 0.
+            // Other nodes can't connect to an unspecified address or to port 0.
             let usable = |a: &SocketAddr| field == "listen" || !(a.ip().is_unspecified() || a.port() == 0);
             match read {
                 Ok(address) if usable(&address) => return Some(address),
-                Ok(address) => wrong.push(format!("fleet.{field}: nobody can be reached at {address}")),
-                Err(ConfigError(error)) => wrong.push(error),
+                Ok(address) => errors.push(format!("fleet.{field}: nobody can be reached at {address}")),
+                Err(ConfigError(error)) => errors.push(error),
             }
             None
         };
@@ -103,29 +105,29 @@
         let seeds: Vec<SocketAddr> =
             self.seeds.iter().enumerate().filter_map(|(n, text)| at(&format!("seeds[{n}]"), text)).collect();
         if self.advertise.is_none() && listen.is_some_and(|listen| listen.ip().is_unspecified()) {
-            wrong.push("fleet.advertise: wanted where fleet.listen is any address".into());
+            errors.push("fleet.advertise: wanted where fleet.listen is any address".into());
         }
-        if self.seeds.len() > SEEDS {
-            wrong.push(format!("fleet.seeds: more than {SEEDS}"));
+        if self.seeds.len() > MAX_SEEDS {
+            errors.push(format!("fleet.seeds: more than {MAX_SEEDS}"));
         }
-        if self.zone.len() > ZONE_BYTES {
-            wrong.push(format!("fleet.zone: longer than {ZONE_BYTES} bytes"));
+        if self.zone.len() > MAX_ZONE_BYTES {
+            errors.push(format!("fleet.zone: longer than {MAX_ZONE_BYTES} bytes"));
         }
         if !hopmoor_fleet::identity::is_name(name) {
-            wrong.push(
+            errors.push(
                 "name: a node of a fleet needs one of 1 to 64 bytes, without control characters".into(),
             );
         }
-        let agree = self.agree.map(|agree| agree.check(name, above, &mut wrong));
-        let keys = above.join(&self.keys);
-        if let Err(ConfigError(error)) = fleet_keys(&keys) {
-            wrong.push(error);
+        let agree = self.agree.map(|agree| agree.check(name, base_dir, &mut errors));
+        let keys = base_dir.join(&self.keys);
+        if let Err(ConfigError(error)) = read_fleet_keys(&keys) {
+            errors.push(error);
         }
         match listen {
-            Some(listen) if wrong.is_empty() => {
+            Some(listen) if errors.is_empty() => {
                 Ok(Fleet { listen, advertise, seeds, keys, zone: self.zone, files, agree })
             }
-            _ => Err(ConfigError(wrong.join("; "))),
+            _ => Err(ConfigError(errors.join("; "))),
         }
     }
 }
@@ -133,8 +135,8 @@
 /// Reads the keys of a fleet.
 ///
 /// # Errors
-/// One message that names the file and the field at fault, and no secret.
-pub fn fleet_keys(file: &Path) -> Result<Keys, ConfigError> {
+/// The file can't be read or is invalid; the message names file and field, and contains no secret.
+pub fn read_fleet_keys(file: &Path) -> Result<Keys, ConfigError> {
     let about =
         |error: &dyn std::fmt::Display| ConfigError(format!("fleet.keys: {}: {error}", file.display()));
     let json = std::fs::read(file).map_err(|error| about(&error))?;
@@ -151,8 +153,8 @@
 }
 
 impl RawRecords {
-    /// Checks the values and that the folder can be written to.
-    fn check(self, above: &Path) -> Result<Records, ConfigError> {
+    /// Checks the values, and that the folder is writable.
+    fn check(self, base_dir: &Path) -> Result<Records, ConfigError> {
         let base = Keep::default();
         let segment_bytes = self.segment_bytes.unwrap_or(base.segment_bytes);
         if !(4_096..=64 << 20).contains(&segment_bytes) {
@@ -163,11 +165,11 @@
             return Err(ConfigError("records.keep_bytes: less than two segments".into()));
         }
         let hours = self.keep_hours.unwrap_or(base.keep_for.as_secs_f64() / 3_600.0);
-        // Up to ten years: guards against times past what the clock can tell.
+        // At most ten years. Guards against times beyond the clock's range.
         if !(hours > 0.0 && hours <= 87_600.0) {
             return Err(ConfigError("records.keep_hours: not over 0 and up to 87600".into()));
         }
-        let folder = above.join(&self.folder);
+        let folder = base_dir.join(&self.folder);
         let about = |error| ConfigError(format!("records.folder: {}: {error}", folder.display()));
         let probe = folder.join(format!(".writable-{}", std::process::id()));
         std::fs::write(&probe, b"").map_err(about)?;
@@ -186,58 +188,58 @@
     inventory: PathBuf,
     team: Option<String>,
     see_other_host: Option<String>,
-    #[serde(default = "stanza_bytes")]
+    #[serde(default = "default_stanza_bytes")]
     stanza_bytes: usize,
-    #[serde(default = "sockets")]
+    #[serde(default = "default_sockets")]
     sockets: usize,
-    #[serde(default = "connect_timeout_ms")]
+    #[serde(default = "default_connect_timeout_ms")]
     connect_timeout_ms: Millis,
     records: Option<RawRecords>,
     fleet: Option<RawFleet>,
 }
 
-fn stanza_bytes() -> usize {
+fn default_stanza_bytes() -> usize {
     64 * 1024
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1_024
 }
 
-fn connect_timeout_ms() -> Millis {
+fn default_connect_timeout_ms() -> Millis {
     250.0
 }
 
-/// Reads the file, and the inventory or configuration that it names, relative to it.
+/// Reads an operator file, and the inventory or configuration that it names by a path relative to it.
 ///
 /// # Errors
-/// One message that names the file and the line or field at fault.
-pub fn read(path: &Path) -> Result<Operator, ConfigError> {
+/// A file can't be read or is invalid; the message names the file and the line or field.
+pub fn read(path: &Path) -> Result<OperatorSetup, ConfigError> {
     let about = |error: &dyn std::fmt::Display| ConfigError(format!("{}: {error}", path.display()));
     let json = std::fs::read(path).map_err(|error| about(&error))?;
-    let above = path.parent().unwrap_or(Path::new(""));
+    let base_dir = path.parent().unwrap_or(Path::new(""));
     let value: serde_json::Value = serde_json::from_slice(&json).map_err(|error| about(&error))?;
     if value.get("config").is_some() {
         let raw: RawPlatform = serde_json::from_slice(&json).map_err(|error| about(&error))?;
-        let file = above.join(&raw.config);
+        let file = base_dir.join(&raw.config);
         let mut config = config::read(&file)?;
         if let Some(text) = &raw.admin {
             config.admin = Some(address("admin", text).map_err(|error| about(&error))?);
         }
         config.records =
-            raw.records.map(|records| records.check(above)).transpose().map_err(|error| about(&error))?;
+            raw.records.map(|records| records.check(base_dir)).transpose().map_err(|error| about(&error))?;
         let files = vec![path.to_owned(), file.clone()];
         config.fleet = raw
             .fleet
-            .map(|fleet| fleet.check(&config.name, above, files))
+            .map(|fleet| fleet.check(&config.name, base_dir, files))
             .transpose()
             .map_err(|error| about(&error))?;
-        return Ok(Operator { config, front: Front::Platform(file) });
+        return Ok(OperatorSetup { config, front: Front::Platform(file) });
     }
     let raw: RawXmpp = serde_json::from_slice(&json).map_err(|error| about(&error))?;
     let listen = address("listen", &raw.listen).map_err(|error| about(&error))?;
     let admin = raw.admin.map(|text| address("admin", &text)).transpose().map_err(|error| about(&error))?;
-    let file = above.join(&raw.inventory);
+    let file = base_dir.join(&raw.inventory);
     let inventory = inventory::read(&file).map_err(|error| ConfigError(error.to_string()))?;
     let team = match &raw.team {
         None => None,
@@ -250,7 +252,7 @@
         services: inventory.services.iter().map(|s| (s.name.clone(), s.deadline_ms)).collect(),
         teams: inventory.teams.iter().map(|team| team.domains.clone()).collect(),
         default_team: team,
-        // RFC 6120 13.12: no limit under 10,000 bytes.
+        // RFC 6120, 13.12: the limit must not be below 10,000 bytes.
         stanza_bytes: raw.stanza_bytes.max(10_000),
         see_other: raw.see_other_host.unwrap_or_else(|| raw.listen.clone()),
     };
@@ -258,7 +260,7 @@
     let files = vec![path.to_owned(), file.clone()];
     let fleet = raw
         .fleet
-        .map(|fleet| fleet.check(&raw.name, above, files))
+        .map(|fleet| fleet.check(&raw.name, base_dir, files))
         .transpose()
         .map_err(|error| about(&error))?;
     let config = Config {
@@ -274,22 +276,23 @@
         known: inventory.pool,
         records: raw
             .records
-            .map(|records| records.check(above))
+            .map(|records| records.check(base_dir))
             .transpose()
             .map_err(|error| about(&error))?,
     };
-    Ok(Operator { config, front: Front::Xmpp(realm, file) })
+    Ok(OperatorSetup { config, front: Front::Xmpp(realm, file) })
 }
 
-/// Reads the pool of an inventory anew.
+/// Reads the pool of an inventory file.
 ///
 /// # Errors
-/// One message that names the file and the line or field at fault.
-pub fn pool(file: &Path) -> Result<PoolList, ConfigError> {
+/// The file can't be read or is invalid; the message names the file and the line or field.
+pub fn read_pool(file: &Path) -> Result<PoolList, ConfigError> {
     let inventory = inventory::read(file).map_err(|error| ConfigError(error.to_string()))?;
     Ok(inventory.pool)
 }
 
+/// The settings of a node with an inventory.
 fn site(inventory: &Inventory, connect_timeout_ms: Millis) -> Site {
     let class = |service: &inventory::Service| Class {
         aim_ms: service.deadline_ms / 2.0,
