--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint's protocol: one HTTP/1.1 request per connection (RFC 9112), as a parser that is fed bytes,
-//! and the responses.
+//! The admin endpoint's protocol: one HTTP/1.1 request per connection (RFC 9112), as a parser that is fed
+//! bytes, and the responses.
 
 use crate::broker::{ClassCounts, Stats};
 use hopmoor_agree::{Most, Part, Permit, Scope};
@@ -130,8 +130,8 @@
     Ok(Operation::Budget(scope, most))
 }
 
-/// Builds a complete plain-text response, after which the connection is closed; `more` holds additional header
-/// lines.
+/// Builds a complete plain-text response, after which the connection is closed; `more` holds additional
+/// header lines.
 pub fn response(status: u16, more: &str, body: &str) -> Vec<u8> {
     response_with_type("text/plain; charset=utf-8", status, more, body)
 }
@@ -174,8 +174,8 @@
     }
 }
 
-/// Builds the JSON response that shows the node's drain request and permit. A voter adds what its Raft log holds:
-/// leader, term, index, budgets and all permits.
+/// Builds the JSON response that shows the node's drain request and permit. A voter adds what its Raft log
+/// holds: leader, term, index, budgets and all permits.
 pub fn permits_response(name: &str, participant: &Part) -> Vec<u8> {
     let mut body = json!({
         "node": name, "asks": participant.asking().told(), "permit": participant.asking().fence(), "votes": participant.voter().is_some(),
@@ -245,7 +245,8 @@
     )
 }
 
-/// Formats the node's metrics as lines `name=value`; `classes` holds the class names, indexed by class number.
+/// Formats the node's metrics as lines `name=value`; `classes` holds the class names, indexed by class
+/// number.
 pub fn format_metrics(classes: &[String], stats: &Stats) -> String {
     let mut text = String::new();
     for (name, counts) in classes.iter().zip(&stats.classes) {
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -45,8 +45,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A request parses to the same result however its bytes are split into reads, and arbitrary bytes give an error
-    /// and no panic.
+    /// A request parses to the same result however its bytes are split into reads, and arbitrary bytes give
+    /// an error and no panic.
     #[test]
     fn a_request_parses_the_same_however_it_is_split(
         call in prop_oneof![
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,5 @@
-//! A node's configuration: the file that `NODE_CONFIG` names, decoded once into the values that the program uses.
+//! A node's configuration: the file that `NODE_CONFIG` names, decoded once into the values that the program
+//! uses.
 
 use crate::api::*;
 use crate::pool::{PoolList, RawList};
@@ -15,7 +16,8 @@
     pub name: String,
     /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Descriptor of a listening socket for clients that the parent process passed; `None` if the node opens its own.
+    /// Descriptor of a listening socket for clients that the parent process passed; `None` if the node opens
+    /// its own.
     pub passed_socket: Option<i32>,
     /// Address of the admin endpoint, if there is one.
     pub admin: Option<SocketAddr>,
@@ -36,7 +38,8 @@
 }
 
 impl Config {
-    /// Adds what the environment sets: `NODE_ADMIN`, unless the file sets the address, and `NODE_PASSED_SOCKET`.
+    /// Adds what the environment sets: `NODE_ADMIN`, unless the file sets the address, and
+    /// `NODE_PASSED_SOCKET`.
     ///
     /// # Errors
     /// A variable is invalid; the message names it.
@@ -46,7 +49,7 @@
             self.admin = variable("NODE_ADMIN").map(|text| address("NODE_ADMIN", &text)).transpose()?;
         }
         let number = |text: String| {
-            let bad = |_| ConfigError(format!("NODE_PASSED_SOCKET: '{text}' is not a descriptor's number"));
+            let bad = |_| ConfigError(format!("NODE_PASSED_SOCKET: '{text}' is not a descriptor number"));
             text.parse().map_err(bad)
         };
         self.passed_socket = variable("NODE_PASSED_SOCKET").map(number).transpose()?;
@@ -76,7 +79,8 @@
     pub keys: PathBuf,
     /// The zone that is announced to other nodes.
     pub zone: String,
-    /// The files that make up the configuration; their digest is announced, so that versions can be told apart.
+    /// The files that make up the configuration; their digest is announced, so that versions can be told
+    /// apart.
     pub files: Vec<PathBuf>,
     /// The drain agreement; `None` if a node drains on command without a permit.
     pub agree: Option<Agreement>,
@@ -167,7 +171,7 @@
         .map_err(|error| ConfigError(error.to_string()))?;
     let site = site(&raw.settings);
     if site.classes.is_empty() {
-        return Err(ConfigError("settings.profiles: no class".into()));
+        return Err(ConfigError("settings.profiles: at least one class is required".into()));
     }
     Ok(Config {
         listen: address("listen", &raw.listen)?,
@@ -215,8 +219,8 @@
     }
 }
 
-/// Reads the settings of the decision module. Unknown keys are ignored; a key that is absent or of the wrong type
-/// leaves its default.
+/// Reads the settings of the decision module. Unknown keys are ignored; a key that is absent or of the wrong
+/// type leaves its default.
 pub fn settings(settings_json: &Value) -> Settings {
     let base = Settings::default();
     let number = |path: &str| settings_json.pointer(path).and_then(Value::as_f64).filter(|n| *n >= 0.0);
--- a/src/front.rs
+++ b/src/front.rs
@@ -1,5 +1,5 @@
-//! The interface of a front: a state machine for one client connection and its server-side flow. It takes bytes and
-//! commands, and yields bytes and steps for the driver. It does no I/O.
+//! The interface of a front: a state machine for one client connection and its server-side flow. It takes
+//! bytes and commands, and yields bytes and steps for the driver. It does no I/O.
 
 use crate::api::Millis;
 use crate::broker::{Command, FrontEvent};
@@ -7,8 +7,9 @@
 /// Limit for the bytes buffered for one side; from this fill level on, nothing more is read for it.
 pub const MAX_BUFFERED_BYTES: usize = 16 * 1024;
 
-/// Time after which a client whose first line or stream header is incomplete is sent its final answer. The answer is
-/// due within 3 s of connecting, however slowly the line arrives, and a client may take 2 s to write it.
+/// Time after which a client whose first line or stream header is incomplete is sent its final answer. The
+/// answer is due within 3 s of connecting, however slowly the line arrives, and a client may take 2 s to
+/// write it.
 pub const FIRST_LINE_TIMEOUT_MS: Millis = 2_500.0;
 
 /// What happened to the connection.
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -1,8 +1,8 @@
-//! An operator's inventory of members, services, teams and contracts, in YAML or CSV as configuration tools write it.
-//! It is decoded into the same values as discovery's list and the settings.
+//! An operator's inventory of members, services, teams and contracts, in YAML or CSV as configuration tools
+//! write it. It is decoded into the same values as discovery's list and the settings.
 //!
-//! In CSV the first column, `kind`, gives a row's type. The other columns have the names of the YAML keys, and lists
-//! are separated by spaces.
+//! In CSV the first column, `kind`, gives a row's type. The other columns have the names of the YAML keys,
+//! and lists are separated by spaces.
 
 use crate::api::{Millis, Phase};
 use crate::pool::{ListError, Member, PoolList, check_dial, zone_index};
@@ -133,7 +133,7 @@
     let decoded = match path.extension().and_then(|suffix| suffix.to_str()) {
         Some("csv") => csv(&text),
         Some("yaml" | "yml") => yaml(&text),
-        _ => Err(ListError("neither .csv nor .yaml".into())),
+        _ => Err(ListError("file extension is not .csv, .yaml or .yml".into())),
     };
     decoded.map_err(|error| about(&error))
 }
@@ -201,7 +201,7 @@
             check_dial(&member.dial)
                 .map_err(|error| ListError(format!("members: {}: dial: {error}", member.name)))?;
             if inventory.pool.members.iter().any(|known| known.name == member.name) {
-                return invalid(format!("members: {} is there twice", member.name));
+                return invalid(format!("members: {} is listed twice", member.name));
             }
             // A member listed under two names would be sent twice its capacity.
             if let Some(known) = inventory.pool.members.iter().find(|known| known.dial == member.dial) {
@@ -211,7 +211,7 @@
                 ));
             }
             if !(member.weight.is_finite() && member.weight > 0.0) {
-                return invalid(format!("members: {}: weight is not above zero", member.name));
+                return invalid(format!("members: {}: weight must be above 0", member.name));
             }
             if !inventory.zones.contains(&member.zone) {
                 inventory.zones.push(member.zone.clone());
@@ -232,21 +232,21 @@
         inventory.pool.whole = true;
         for service in &inventory.services {
             if !(service.deadline_ms.is_finite() && service.deadline_ms >= 100.0) {
-                return invalid(format!("services: {}: deadline_ms is under 100", service.name));
+                return invalid(format!("services: {}: deadline_ms must be at least 100", service.name));
             }
         }
         if inventory.services.is_empty() {
-            return invalid("services: none".into());
+            return invalid("services: at least one is required".into());
         }
         for team in self.teams {
             if inventory.teams.iter().any(|known| known.name == team.name) {
-                return invalid(format!("teams: {} is there twice", team.name));
+                return invalid(format!("teams: {} is listed twice", team.name));
             }
             inventory.teams.push(Team { name: team.name, domains: team.domains, contract: None });
         }
         for raw in self.contracts {
             let Some(team) = inventory.teams.iter_mut().find(|team| team.name == raw.team) else {
-                return invalid(format!("contracts: no team {}", raw.team));
+                return invalid(format!("contracts: unknown team {}", raw.team));
             };
             let contract = Contract {
                 guarantee: raw.guarantee,
@@ -254,10 +254,10 @@
                 priority: raw.priority,
             };
             if !(contract.guarantee >= 0.0 && contract.maximum >= contract.guarantee) {
-                return invalid(format!("contracts: {}: guarantee is under 0 or over maximum", raw.team));
+                return invalid(format!("contracts: {}: guarantee must be from 0 to maximum", raw.team));
             }
             if team.contract.replace(contract).is_some() {
-                return invalid(format!("contracts: {} has two", raw.team));
+                return invalid(format!("contracts: {} has more than one", raw.team));
             }
         }
         Ok(inventory)
--- a/src/main.rs
+++ b/src/main.rs
@@ -40,7 +40,7 @@
   --config FILE         the platform's configuration; without it NODE_CONFIG names one
   --operator FILE       an operator file: XMPP with an inventory, or the platform's front
   --xmpp FILE           older name of --operator
-  --log-format FORMAT   text (the default) or json: one object per line, with node, incarnation and RFC 3339 time
+  --log-format FORMAT   text (the default) or json: one object per line, with node, incarnation and time
 
 environment: NODE_CONFIG, NODE_ADMIN, NODE_PASSED_SOCKET, HOPMOOR_LOG_FORMAT (see hopmoor help)
 signals: SIGUSR1 logs the counters, SIGHUP reloads configuration, inventory and fleet keys
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -16,8 +16,8 @@
 use tokio::sync::oneshot;
 
 /// Maximum number of concurrent admin connections, one descriptor each, reserved from the process's limit. A
-/// complete request is answered at once, so the limit is only reached by connections with an incomplete request;
-/// the oldest of these is then closed.
+/// complete request is answered at once, so the limit is only reached by connections with an incomplete
+/// request; the oldest of these is then closed.
 pub(super) const RESERVED_DESCRIPTORS: usize = 12;
 /// A request that is not complete after this time is answered with 408.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -1,5 +1,5 @@
-//! Driver of the fleet's drain agreement: sends Raft messages over the fleet link, persists log and vote, and drains
-//! this node on a permit. The decisions are made in `hopmoor_agree`, which does no I/O.
+//! Driver of the fleet's drain agreement: sends Raft messages over the fleet link, persists log and vote, and
+//! drains this node on a permit. The decisions are made in `hopmoor_agree`, which does no I/O.
 
 use super::Node;
 use super::fleet::Link;
@@ -169,7 +169,8 @@
             (Order::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
             (Order::Drain(permit), _) => {
                 let done = node.with(|broker, now| broker.drain(now));
-                // Announced at once: the permit is revoked if a later incarnation of this node is seen as serving.
+                // Announced at once: the permit is revoked if a later incarnation of this node is seen as
+                // serving.
                 super::fleet::announce(node, link);
                 info!(node.log, "draining on a permit"; "permit" => permit, "done" => done);
             }
@@ -183,9 +184,9 @@
                 }
             }
             (Order::Keep(work), Some(folder)) => {
-                // Sends what need not wait for the disk. The write runs on a blocking thread, so clients are served
-                // meanwhile.
-                super::fleet::execute_orders(node, link);
+                // Sends what need not wait for the disk. The write runs on a blocking thread, so clients are
+                // served meanwhile.
+                super::fleet::execute_actions(node, link);
                 let folder = folder.clone();
                 let done = tokio::task::spawn_blocking(move || folder.keep(&work)).await;
                 match done.map_err(|error| error.to_string()).and_then(|done| done.map_err(|e| e.to_string()))
@@ -197,5 +198,5 @@
             (Order::Found(_) | Order::Keep(_), None) => participant.borrow_mut().stop("it has no folder"),
         }
     }
-    super::fleet::execute_orders(node, link);
+    super::fleet::execute_actions(node, link);
 }
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -1,14 +1,16 @@
-//! The descriptor budget: counts the descriptors of the node's sockets and evicts connections when they run short.
+//! The descriptor budget: counts the descriptors of the node's sockets and evicts connections when they run
+//! short.
 //!
-//! A client holds one descriptor while its first line is incomplete (pending), two while its transaction is open (its
-//! own and that of its flow), and one after its final response until its connection is closed (lingering). A probe of
-//! a member holds one.
+//! A client holds one descriptor while its first line is incomplete (pending), two while its transaction is
+//! open (its own and that of its flow), and one after its final response until its connection is closed
+//! (lingering). A probe of a member holds one.
 //!
-//! To make room for a client, connections are evicted in this order: lingering ones, the oldest first; pending clients
-//! that have been idle for [`IDLE_GRACE_MS`], the longest idle first; probes; the remaining pending clients. To make room
-//! for a probe, only idle pending clients are evicted, and all probes together hold a limited share. Guards against
-//! probes that take the descriptors that clients need, against silent clients that crowd out real ones, and against
-//! evicting real clients as silent because they write slowly or have just connected.
+//! To make room for a client, connections are evicted in this order: lingering ones, the oldest first;
+//! pending clients that have been idle for [`IDLE_GRACE_MS`], the longest idle first; probes; the remaining
+//! pending clients. To make room for a probe, only idle pending clients are evicted, and all probes together
+//! hold a limited share. Guards against probes that take the descriptors that clients need, against silent
+//! clients that crowd out real ones, and against evicting real clients as silent because they write slowly or
+//! have just connected.
 
 use crate::api::{BackendId, Millis};
 use crate::broker::{Command, TransactionId};
@@ -16,17 +18,17 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::task::AbortHandle;
 
-/// Descriptors that are not connections of clients, members, discovery or operators: standard streams, listeners and
-/// those of the runtime.
+/// Descriptors that are not connections of clients, members, discovery or operators: standard streams,
+/// listeners and those of the runtime.
 const BASE_DESCRIPTORS: usize = 20;
 /// Lingering closes may hold at most one in this many of the process's descriptors, and so may probes.
 const SHARE_DIVISOR: usize = 8;
-/// Time since a pending client's last activity during which it is not evicted for a probe, so that a client that has
-/// just connected has time for its line to be read.
+/// Time since a pending client's last activity during which it is not evicted for a probe, so that a client
+/// that has just connected has time for its line to be read.
 const IDLE_GRACE_MS: Millis = 1_000.0;
-/// Received bytes of a first line date a client's last activity this far ahead. A client that keeps writing is thus
-/// kept before a silent one. One that has stopped half way is not kept for long: a client whose line is still on its
-/// way outlasts it.
+/// Received bytes of a first line date a client's last activity this far ahead. A client that keeps writing
+/// is thus kept before a silent one. One that has stopped half way is not kept for long: a client whose line
+/// is still on its way outlasts it.
 const WRITE_CREDIT_MS: Millis = 500.0;
 /// Retry delay given to clients that are rejected for lack of descriptors.
 pub(super) const NO_ROOM_RETRY_MS: f64 = 1_000.0;
@@ -151,7 +153,8 @@
         self.clients.is_empty()
     }
 
-    /// Registers a client that has connected, as pending. Returns whether there is room, and what was evicted for it.
+    /// Registers a client that has connected, as pending. Returns whether there is room, and what was evicted
+    /// for it.
     pub(super) fn admit(
         &mut self,
         now: Millis,
@@ -176,8 +179,8 @@
         }
     }
 
-    /// Registers a client's transaction, which needs a second descriptor for its flow. Returns whether there is room,
-    /// and what was evicted for it.
+    /// Registers a client's transaction, which needs a second descriptor for its flow. Returns whether there
+    /// is room, and what was evicted for it.
     pub(super) fn open(&mut self, now: Millis, id: TransactionId) -> (bool, Evicted) {
         // Taken out first, so that the client is not evicted to make room for itself.
         self.forget_pending(id);
@@ -192,7 +195,8 @@
         (room, evicted)
     }
 
-    /// Notes that a client has been sent its final response; its connection lingers until the client closes it.
+    /// Notes that a client has been sent its final response; its connection lingers until the client closes
+    /// it.
     pub(super) fn linger(&mut self, id: TransactionId) {
         self.forget_pending(id);
         let Some(entry) = self.clients.get_mut(&id) else { return };
@@ -219,7 +223,8 @@
         }
     }
 
-    /// Whether a probe may start, and what was evicted for it. [`DescriptorBudget::probe_started`] counts its descriptor.
+    /// Whether a probe may start, and what was evicted for it. [`DescriptorBudget::probe_started`] counts its
+    /// descriptor.
     pub(super) fn may_probe(&mut self, now: Millis) -> (bool, Evicted) {
         let mut evicted = Evicted::default();
         if self.probes.len() >= self.share_limit {
--- a/src/net/descriptors/tests.rs
+++ b/src/net/descriptors/tests.rs
@@ -45,8 +45,8 @@
     assert!(fixture.descriptors.held <= 256 - BASE_DESCRIPTORS);
 }
 
-/// A client that takes two seconds to write its first line is kept, among thousands of clients that stop half way or
-/// stay silent. A client whose line arrives a millisecond after its connection is not evicted either.
+/// A client that takes two seconds to write its first line is kept, among thousands of clients that stop half
+/// way or stay silent. A client whose line arrives a millisecond after its connection is not evicted either.
 #[test]
 fn slow_writers_are_kept_and_stalled_clients_evicted() {
     let mut fixture = Fixture::new(128);
@@ -107,8 +107,8 @@
     runtime.spawn(std::future::pending::<()>()).abort_handle()
 }
 
-/// Guards against probes that hold descriptors that clients need: probes are counted, limited to a share of all
-/// descriptors, and evicted for clients.
+/// Guards against probes that hold descriptors that clients need: probes are counted, limited to a share of
+/// all descriptors, and evicted for clients.
 #[test]
 fn probes_are_counted_and_evicted_for_clients() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
@@ -127,8 +127,8 @@
     assert_eq!((pending, probes), (20, 0), "each probe was evicted, and no client that had just connected");
 }
 
-/// Guards against rejecting clients for a probe before their line is read. Connections adopted from before the run
-/// (`at=` lines) were lost that way.
+/// Guards against rejecting clients for a probe before their line is read. Connections adopted from before
+/// the run (`at=` lines) were lost that way.
 #[test]
 fn a_client_is_evicted_for_a_probe_only_after_its_grace() {
     let mut fixture = Fixture::new(BASE_DESCRIPTORS + 10);
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,5 +1,5 @@
-//! Driver of the fleet's gossip: one port for UDP datagrams and for TCP exchanges of whole views. State and decisions
-//! are in `hopmoor_fleet`, which does no I/O.
+//! Driver of the fleet's gossip: one port for UDP datagrams and for TCP exchanges of whole views. State and
+//! decisions are in `hopmoor_fleet`, which does no I/O.
 
 use super::{Node, agree, listen};
 use crate::admin;
@@ -22,8 +22,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::Notify;
 
-/// Maximum number of concurrent exchanges, in both directions together. Further ones are dropped, as nodes repeat
-/// them. Guards against peers that hold descriptors and memory.
+/// Maximum number of concurrent exchanges, in both directions together. Further ones are dropped, as nodes
+/// repeat them. Guards against peers that hold descriptors and memory.
 const MAX_EXCHANGES: usize = 8;
 /// Descriptors reserved for the link: its two sockets and the exchanges.
 pub(super) const RESERVED_DESCRIPTORS: usize = MAX_EXCHANGES + 2;
@@ -33,8 +33,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of datagrams read in a row, so that a flood of them leaves time for clients.
 const MAX_DATAGRAMS_PER_READ: usize = 64;
-/// Maximum number of queued datagrams read before a timer fires, as many as the socket buffer holds. After a pause
-/// of this process they show which nodes are alive, before time-outs declare these dead.
+/// Maximum number of queued datagrams read before a timer fires, as many as the socket buffer holds. After a
+/// pause of this process they show which nodes are alive, before time-outs declare these dead.
 const MAX_DATAGRAMS_BEFORE_TICK: usize = 1_024;
 /// Interval at which the node checks whether its announced status has changed.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
@@ -42,7 +42,8 @@
 const REFUSED_LOG_INTERVAL_MS: f64 = 10_000.0;
 /// Interval between attempts to bind the port while the old process of an upgrade still holds it.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum number of attempts to find a port that is free for both UDP and TCP, where the system picks the port.
+/// Maximum number of attempts to find a port that is free for both UDP and TCP, where the system picks the
+/// port.
 const MAX_BIND_ATTEMPTS: usize = 16;
 /// Receive buffer: the largest datagram, and one byte more to detect longer ones.
 const RECEIVE_BUFFER_BYTES: usize = hopmoor_fleet::MAX_DATAGRAM_BYTES + 1;
@@ -91,7 +92,8 @@
         self.closed.get()
     }
 
-    /// Queues a message that is not part of gossip, such as Raft's; it is sent with the next [`execute_orders`].
+    /// Queues a message that is not part of gossip, such as Raft's; it is sent with the next
+    /// [`execute_actions`].
     pub(super) fn send_user_message(&self, to: &str, bytes: &[u8]) {
         self.fleet.borrow_mut().send_user_message(to, bytes);
     }
@@ -107,8 +109,8 @@
     }
 }
 
-/// Binds the fleet port. Returns `None` if `may_wait` and another process still holds it, as the old process of an
-/// upgrade does.
+/// Binds the fleet port. Returns `None` if `may_wait` and another process still holds it, as the old process
+/// of an upgrade does.
 pub(super) fn bind(config: &config::Fleet, may_wait: bool) -> io::Result<Option<Ports>> {
     let about =
         |error: io::Error| io::Error::new(error.kind(), format!("fleet.listen: {}: {error}", config.listen));
@@ -230,7 +232,7 @@
     announcements.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     while !link.closed.get() {
-        execute_orders(node, &link);
+        execute_actions(node, &link);
         let due = link.fleet.borrow().next_due();
         let sleep = async {
             match due {
@@ -288,8 +290,8 @@
     }
 }
 
-/// Logs a refused message, at most one per [`REFUSED_LOG_INTERVAL_MS`], with the number refused since the line
-/// before. Guards against floods that fill the log.
+/// Logs a refused message, at most one per [`REFUSED_LOG_INTERVAL_MS`], with the number refused since the
+/// line before. Guards against floods that fill the log.
 fn log_refused(node: &Node, link: &Link, from: SocketAddr, why: Refused) {
     let (last, held) = link.refused.get();
     let now = node.clock.now();
@@ -300,8 +302,8 @@
     warn!(node.log, "fleet refused a message"; "from" => %from, "why" => %why, "before" => held);
 }
 
-/// Executes the queued orders of the fleet view and handles its events.
-pub(super) fn execute_orders(node: &Rc<Node>, link: &Rc<Link>) {
+/// Executes the queued actions of the fleet view and handles its events.
+pub(super) fn execute_actions(node: &Rc<Node>, link: &Rc<Link>) {
     loop {
         let action = link.fleet.borrow_mut().action();
         match action {
@@ -332,7 +334,8 @@
     match event {
         Event::Up(id) => {
             note(&id, NeighbourState::Alive);
-            info!(node.log, "fleet node up"; "name" => &*id.name, "as" => id.incarnation, "at" => %id.address);
+            info!(node.log, "fleet node up";
+                "name" => &*id.name, "as" => id.incarnation, "at" => %id.address);
         }
         Event::Down(id, state) => {
             let left = state == State::Left;
@@ -346,7 +349,8 @@
                 "at" => %id.address);
         }
         Event::Rejoined(id) => {
-            warn!(node.log, "rejoined the fleet after other nodes declared this node dead"; "as" => id.incarnation);
+            warn!(node.log, "rejoined the fleet after other nodes declared this node dead";
+                "as" => id.incarnation);
         }
         Event::NameTaken(id) => {
             warn!(node.log, "not ready: a newer process uses this node's name"; "as" => id.incarnation,
@@ -359,12 +363,14 @@
         }
         Event::Stalled(ms) => warn!(node.log, "process was paused"; "ms" => ms),
         Event::Full => {
-            warn!(node.log, "fleet view full, ignoring further nodes"; "most" => hopmoor_fleet::MAX_KNOWN_NODES)
+            warn!(node.log, "fleet view full, ignoring further nodes";
+                "most" => hopmoor_fleet::MAX_KNOWN_NODES)
         }
     }
 }
 
-/// Announces this node's status if it has changed, and passes the number of nodes sharing the pool to the broker.
+/// Announces this node's status if it has changed, and passes the number of nodes sharing the pool to the
+/// broker.
 pub(super) fn announce(node: &Rc<Node>, link: &Link) {
     let ready = match node.broker.borrow().readiness() {
         Ok(()) => Readiness::Serving,
@@ -403,8 +409,9 @@
     link.wake.notify_one();
 }
 
-/// Handles the start of shutdown. In an upgrade (`listener_passed`) the link is closed without a leave message: the new process
-/// takes over port and name, so the node stays in the fleet. Otherwise the new status is announced.
+/// Handles the start of shutdown. In an upgrade (`listener_passed`) the link is closed without a leave
+/// message: the new process takes over port and name, so the node stays in the fleet. Otherwise the new
+/// status is announced.
 pub(super) fn begin_shutdown(node: &Rc<Node>, listener_passed: bool) {
     if listener_passed {
         if let Some(link) = node.fleet.borrow_mut().take() {
@@ -420,7 +427,7 @@
 pub(super) fn leave(node: &Rc<Node>) {
     if let Some(link) = node.fleet.borrow_mut().take() {
         link.fleet.borrow_mut().leave(node.clock.now() as u64);
-        execute_orders(node, &link);
+        execute_actions(node, &link);
         link.closed.set(true);
     }
 }
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -10,7 +10,8 @@
 /// Maximum number of lines about bad input per second.
 const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Rate limit for lines about bad input; counts the suppressed ones. Guards against attacks that fill the log.
+/// Rate limit for lines about bad input; counts the suppressed ones. Guards against attacks that fill the
+/// log.
 #[derive(Default)]
 pub(super) struct LogRateLimit {
     second_began: Millis,
@@ -39,7 +40,8 @@
     /// Plain text, for people.
     #[default]
     Text,
-    /// One JSON object per line, with node, incarnation and RFC 3339 time, for collecting the logs of many nodes.
+    /// One JSON object per line, with node, incarnation and RFC 3339 time, for collecting the logs of many
+    /// nodes.
     Json,
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The drivers: the only code that uses sockets, clocks and signals. They contain no decisions, and all run as tasks
-//! of one thread.
+//! The drivers: the only code that uses sockets, clocks and signals. They contain no decisions, and all run
+//! as tasks of one thread.
 
 mod admin;
 mod agree;
@@ -36,14 +36,16 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::LocalSet;
 
-/// Minimum time that a node goes on accepting connections after SIGTERM, as new ones still arrive for a while.
+/// Minimum time that a node goes on accepting connections after SIGTERM, as new ones still arrive for a
+/// while.
 const MIN_SHUTDOWN_MS: Millis = 600.0;
 /// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// Time after the start from which the node uses its configured member list if discovery turns out to be down.
+/// Time after the start from which the node uses its configured member list if discovery turns out to be
+/// down.
 const CONFIGURED_LIST_AFTER_MS: u64 = 2_000;
-/// Time after the start at which the node becomes ready even while it still waits for discovery, as nine in ten nodes
-/// have to be ready within 6 s. Requests that need the list wait for it.
+/// Time after the start at which the node becomes ready even while it still waits for discovery, as nine in
+/// ten nodes have to be ready within 6 s. Requests that need the list wait for it.
 const READY_DEADLINE_MS: u64 = 5_000;
 /// Interval between checks for a usable list from [`CONFIGURED_LIST_AFTER_MS`] to [`READY_DEADLINE_MS`].
 const READY_POLL_MS: u64 = 100;
@@ -68,7 +70,8 @@
         Clock { started: Instant::now(), base: unix.as_secs_f64() * 1_000.0 }
     }
 
-    /// The incarnation, which tells a node's successive processes apart: Unix milliseconds at the process's start.
+    /// The incarnation, which tells a node's successive processes apart: Unix milliseconds at the process's
+    /// start.
     pub fn incarnation(&self) -> u64 {
         self.base as u64
     }
@@ -165,22 +168,26 @@
             LogLine::Module(what) => info!(self.log, "decision module"; "what" => what),
             LogLine::Fault(what) => slog::error!(self.log, "decision module fault"; "what" => what),
             LogLine::Overdue(id) => {
-                slog::error!(self.log, "no final answer by the deadline, transaction failed"; "transaction" => id.0)
+                slog::error!(self.log, "no final answer by the deadline, transaction failed";
+                    "transaction" => id.0)
             }
             LogLine::Members { changed, listed } => {
                 info!(self.log, "pool members changed"; "changed" => changed, "listed" => listed)
             }
             LogLine::AdoptionAwaitsList(id) => {
-                info!(self.log, "adopted connection waits for a list that names its member"; "transaction" => id.0)
+                info!(self.log, "adopted connection waits for a list that names its member";
+                    "transaction" => id.0)
             }
             LogLine::AdoptedMemberGone(id) => {
-                warn!(self.log, "member of an adopted connection is gone, placing it anew"; "transaction" => id.0)
+                warn!(self.log, "member of an adopted connection is gone, placing it anew";
+                    "transaction" => id.0)
             }
             LogLine::Parked(id) => {
                 debug!(self.log, "attempt waits for an answer of discovery"; "transaction" => id.0)
             }
             LogLine::AttemptDenied(id, member) => {
-                warn!(self.log, "attempt denied, member may not be sent to"; "transaction" => id.0, "member" => member)
+                warn!(self.log, "attempt denied, member may not be sent to";
+                    "transaction" => id.0, "member" => member)
             }
             LogLine::Duplicate(id, name) => {
                 if self.may_log() {
@@ -191,7 +198,8 @@
                 info!(self.log, "pool member"; "member" => member, "phase" => ?phase)
             }
             LogLine::SlowMessages(member, ms) => {
-                info!(self.log, "message latency at member changed"; "member" => member, "took_ms" => ms.round())
+                info!(self.log, "message latency at member changed";
+                    "member" => member, "took_ms" => ms.round())
             }
             LogLine::List { seq, whole } => {
                 debug!(self.log, "member list updated"; "version" => seq, "whole" => whole)
@@ -200,13 +208,15 @@
                 "transaction" => id.0, "id" => name.as_deref().unwrap_or("-"), "member" => member,
                 "attempt" => attempt, "started_ago_ms" => started_ago_ms.map(f64::round)),
             LogLine::Moved(id, member, reason) => {
-                info!(self.log, "client moved"; "transaction" => id.0, "member" => member, "reason" => ?reason)
+                info!(self.log, "client moved";
+                    "transaction" => id.0, "member" => member, "reason" => ?reason)
             }
             LogLine::Unserved { id, class, tenant, answer, flows, waited_ms } => info!(self.log,
                 "transaction unserved"; "transaction" => id.0, "class" => class.0, "tenant" => tenant.0,
                 "answer" => ?answer, "flows" => flows, "waited_ms" => waited_ms.round()),
             LogLine::Probed(member, Outcome::Ok, load, message) => {
-                debug!(self.log, "probe answered"; "member" => member, "load" => ?load, "message_ms" => ?message)
+                debug!(self.log, "probe answered";
+                    "member" => member, "load" => ?load, "message_ms" => ?message)
             }
             LogLine::Probed(member, outcome, ..) => {
                 info!(self.log, "probe failed"; "member" => member, "outcome" => ?outcome)
@@ -233,18 +243,21 @@
         }
     }
 
-    /// Counts and logs a client that is rejected for lack of descriptors; `asked` is the class it requested, if any.
+    /// Counts and logs a client that is rejected for lack of descriptors; `asked` is the class it requested,
+    /// if any.
     fn no_room(&self, id: TransactionId, peer: SocketAddr, asked: Option<ClassId>) {
         self.broker.borrow_mut().no_room(asked);
         if self.may_log() {
             let held = self.descriptors.borrow().usage();
             let (asked, client) = (asked.is_some(), peer);
-            warn!(self.log, "client rejected, descriptor limit reached"; "transaction" => id.0, "client" => %client,
+            warn!(self.log, "client rejected, descriptor limit reached";
+                "transaction" => id.0, "client" => %client,
                 "asked" => asked, "held" => %held);
         }
     }
 
-    /// Whether the rate limit allows another line about bad input now. Logs how many were suppressed before it.
+    /// Whether the rate limit allows another line about bad input now. Logs how many were suppressed before
+    /// it.
     fn may_log(&self) -> bool {
         let (may, held) = self.log_limit.borrow_mut().allow(self.clock.now());
         if held > 0 {
@@ -287,8 +300,8 @@
     }))
 }
 
-/// Listens with a backlog sized for bursts of connections: with the usual 128 the kernel dropped the excess, and those
-/// clients tried again a second later.
+/// Listens with a backlog sized for bursts of connections: with the usual 128 the kernel dropped the excess,
+/// and those clients tried again a second later.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     // Lets the node bind its address again immediately after a restart.
@@ -420,7 +433,8 @@
     Ok(())
 }
 
-/// Shuts down gracefully: serves on while clients are moved, until none is left or the time given by the broker is over.
+/// Shuts down gracefully: serves on while clients are moved, until none is left or the time given by the
+/// broker is over.
 async fn shut_down(node: &Rc<Node>, listener_passed: bool) {
     let began = node.clock.now();
     fleet::begin_shutdown(node, listener_passed);
@@ -463,8 +477,8 @@
     }
 }
 
-/// Accepts clients. On a passed listener it does so only while this process is ready and not shutting down, as another
-/// process may accept on it as well.
+/// Accepts clients. On a passed listener it does so only while this process is ready and not shutting down,
+/// as another process may accept on it as well.
 async fn accept(
     node: Rc<Node>,
     listener: TcpListener,
@@ -501,7 +515,8 @@
             continue;
         }
         tokio::task::spawn_local(session::run(node.clone(), id, peer, client, front, commands));
-        // Lets sessions read first: a client whose line has arrived must not be evicted as silent for the next one.
+        // Lets sessions read first: a client whose line has arrived must not be evicted as silent for the
+        // next one.
         tokio::task::yield_now().await;
     }
 }
--- a/src/net/probe.rs
+++ b/src/net/probe.rs
@@ -13,7 +13,8 @@
 /// A probe without an answer after this time has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Probes a member: through its running task if there is one, else through a new one if the descriptor budget allows.
+/// Probes a member: through its running task if there is one, else through a new one if the descriptor budget
+/// allows.
 pub(super) fn probe(node: &Rc<Node>, member: BackendId, dial: &str) {
     let Ok(address) = dial.parse::<SocketAddr>() else { return };
     if let Some(known) = node.probes.borrow().get(&member)
@@ -34,8 +35,8 @@
     }
 }
 
-/// Probes one member until no probe has been requested for the keep-alive time. The descriptor budget may abort it at
-/// any await point; it then releases the descriptor and the entry of this task itself.
+/// Probes one member until no probe has been requested for the keep-alive time. The descriptor budget may
+/// abort it at any await point; it then releases the descriptor and the entry of this task itself.
 async fn run(node: Rc<Node>, member: BackendId, mut requests: mpsc::Receiver<SocketAddr>) {
     let mut connection = None;
     while let Ok(Some(address)) = tokio::time::timeout(node.keepalive, requests.recv()).await {
@@ -43,7 +44,8 @@
         let mut stream = connection.take().filter(|(known, _)| *known == address).map(|(_, stream)| stream);
         let result = tokio::time::timeout(PROBE_TIMEOUT, probe_once(&mut stream, address)).await;
         let (outcome, answer) = result.unwrap_or((Outcome::TimedOut, None));
-        // Closed unless the probe succeeded, or a late answer would be taken for the answer to the next probe.
+        // Closed unless the probe succeeded, or a late answer would be taken for the answer to the next
+        // probe.
         connection = stream.filter(|_| outcome == Outcome::Ok).map(|stream| (address, stream));
         let (report, latency_ms) =
             (answer.map(|answer| answer.report), answer.and_then(|answer| answer.message_ms));
--- a/src/net/recorder.rs
+++ b/src/net/recorder.rs
@@ -1,6 +1,6 @@
-//! Driver of the event recorder: takes records from the broker and passes them, through a bounded queue, to a thread
-//! that writes them to disk. Recording never blocks the event loop and never stops the node: records that find no
-//! room in the queue are dropped and counted.
+//! Driver of the event recorder: takes records from the broker and passes them, through a bounded queue, to a
+//! thread that writes them to disk. Recording never blocks the event loop and never stops the node: records
+//! that find no room in the queue are dropped and counted.
 
 use super::Node;
 use crate::api::Millis;
@@ -17,7 +17,8 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Interval at which records are passed to the writer; a node that is killed loses at most the records of one interval.
+/// Interval at which records are passed to the writer; a node that is killed loses at most the records of one
+/// interval.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of batches that wait to be written.
 const MAX_QUEUED_BATCHES: usize = 8;
@@ -134,7 +135,8 @@
     recorder.enqueue(Batch { now, wall: wall_clock(), missed, records: taken.records });
 }
 
-/// Records the node's regular end and waits until the last records are written, at most [`FINAL_FLUSH_TIMEOUT`].
+/// Records the node's regular end and waits until the last records are written, at most
+/// [`FINAL_FLUSH_TIMEOUT`].
 pub(super) fn finish(node: &Node) {
     let Some(recorder) = &node.recorder else { return };
     flush(node);
@@ -170,7 +172,8 @@
                 Notice::Failing(error) => error!(log, "records not written"; "error" => %error),
                 Notice::Recovered(lost) => info!(log, "records written again"; "lost" => lost),
                 Notice::Untidy(path, error) => {
-                    warn!(log, "segment could not be tidied up"; "path" => path.display().to_string(), "error" => %error)
+                    warn!(log, "segment could not be tidied up";
+                        "path" => path.display().to_string(), "error" => %error)
                 }
             }
         }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,4 +1,5 @@
-//! Reloads the configuration or the inventory on SIGHUP while the node serves. An invalid file changes nothing.
+//! Reloads the configuration or the inventory on SIGHUP while the node serves. An invalid file changes
+//! nothing.
 
 use super::Node;
 use crate::config::{self, Config};
@@ -48,8 +49,8 @@
     warn!(node.log, "{}", what; "error" => %error);
 }
 
-/// Applies a new configuration: discovery's address and the descriptor limit take effect at once. Other fields that
-/// differ are logged, and take effect after a restart.
+/// Applies a new configuration: discovery's address and the descriptor limit take effect at once. Other
+/// fields that differ are logged, and take effect after a restart.
 fn apply(node: &Rc<Node>, old: &mut Config, new: Config) {
     let needs_restart: Vec<&str> = [
         ("name", old.name != new.name),
--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -27,8 +27,8 @@
 enum Flow {
     None,
     Connecting(Connecting),
-    /// `eof`: the member has closed its write side. `shut_when_written`: to be closed for writing once all is written.
-    /// `reported_written`: the front was told that its bytes were written, so the request has begun.
+    /// `eof`: the member has closed its write side. `shut_when_written`: to be closed for writing once all is
+    /// written. `reported_written`: the front was told that its bytes were written, so the request has begun.
     Open {
         stream: TcpStream,
         eof: bool,
@@ -82,8 +82,8 @@
     Reset,
 }
 
-/// Writes what is left and closes the connection. What the client still sends is read and discarded, or the kernel
-/// would answer it with a reset, which may reach the client before the last bytes.
+/// Writes what is left and closes the connection. What the client still sends is read and discarded, or the
+/// kernel would answer it with a reset, which may reach the client before the last bytes.
 async fn finish(mut client: TcpStream, bytes: Vec<u8>) {
     let close = async {
         client.write_all(&bytes).await?;
@@ -93,7 +93,8 @@
             client.readable().await?;
             match client.try_read(&mut sink) {
                 Ok(0) => return Ok(()),
-                // Guards against clients that go on sending at full speed: reading it costs time that others need.
+                // Guards against clients that go on sending at full speed: reading it costs time that others
+                // need.
                 Ok(_) => tokio::time::sleep(DISCARD_PAUSE).await,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err::<(), io::Error>(error),
@@ -283,8 +284,9 @@
     }
 }
 
-/// Reads the client's socket directly before a flow is opened and before its request is written, as the runtime may not
-/// have reported the client's data or EOF yet. Guards against attempts for clients that are gone.
+/// Reads the client's socket directly before a flow is opened and before its request is written, as the
+/// runtime may not have reported the client's data or EOF yet. Guards against attempts for clients that are
+/// gone.
 fn read_client_now(
     client: &TcpStream,
     front: &mut dyn Front,
@@ -318,8 +320,8 @@
     TcpStream::connect(address).await
 }
 
-/// Writes the unsent rest for a member as far as its socket takes it at once. A request of which nothing was written is
-/// dropped.
+/// Writes the unsent rest for a member as far as its socket takes it at once. A request of which nothing was
+/// written is dropped.
 fn flush_begun_request(flow: &Flow, bytes: &mut Vec<u8>) {
     if let Flow::Open { stream, reported_written: true, .. } = flow
         && !bytes.is_empty()
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -15,36 +15,37 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// Time for which discovery may hold a call while it has no change; the first call of a watch is answered at once. Six
-/// seconds after a change at discovery the node counts as having been told of it, whether or not an answer arrived. The
-/// time-outs below let a silent watch be given up, and the next call be answered, within these 6 s.
+/// Time for which discovery may hold a call while it has no change; the first call of a watch is answered at
+/// once. Six seconds after a change at discovery the node counts as having been told of it, whether or not an
+/// answer arrived. The time-outs below let a silent watch be given up, and the next call be answered, within
+/// these 6 s.
 const LONG_POLL_MS: u64 = 2_000;
 const IMMEDIATE_POLL_MS: u64 = 1;
 /// Time beyond the hold time after which a call counts as unanswered; also the limit for connecting.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// An answer may pause for this long, as a discovery with many callers writes to all of them in turn. An answer that
-/// makes progress is read to its end, however long the list: a new call would take as long. But once this time has
-/// passed since its first byte, it has to keep a minimum pace: with a known length, one that completes it within
-/// [`MAX_READ_TIME`]; else [`MIN_BYTES_PER_SECOND`], as it may never end.
+/// An answer may pause for this long, as a discovery with many callers writes to all of them in turn. An
+/// answer that makes progress is read to its end, however long the list: a new call would take as long. But
+/// once this time has passed since its first byte, it has to keep a minimum pace: with a known length, one
+/// that completes it within [`MAX_READ_TIME`]; else [`MIN_BYTES_PER_SECOND`], as it may never end.
 const READ_GRACE: Duration = QUEUED_ANSWER_TIMEOUT;
 /// An answer that pauses for this long may already have been written in full, so its changes count as told.
 const STALL_TIMEOUT: Duration = Duration::from_millis(250);
 const MAX_READ_TIME: Duration = Duration::from_secs(20);
 const MIN_BYTES_PER_SECOND: f64 = 16_384.0;
-/// After an answer that took longer than this to read, the next call asks for an immediate answer, as the list just
-/// read may be outdated.
+/// After an answer that took longer than this to read, the next call asks for an immediate answer, as the
+/// list just read may be outdated.
 const SLOW_READ: Duration = Duration::from_millis(500);
-/// Time-out of the first call of a watch, and of the first at a new address, as then all nodes call at once and their
-/// calls queue at discovery. Discovery serves a call even if its node has given up and calls again: a hundred nodes kept
-/// a discovery busy with such calls for 13 s. So the node waits until discovery itself drops the call: 2 s in its queue,
-/// and some time to answer.
+/// Time-out of the first call of a watch, and of the first at a new address, as then all nodes call at once
+/// and their calls queue at discovery. Discovery serves a call even if its node has given up and calls again:
+/// a hundred nodes kept a discovery busy with such calls for 13 s. So the node waits until discovery itself
+/// drops the call: 2 s in its queue, and some time to answer.
 const QUEUED_ANSWER_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// HTTP status that discovery answers when it is down, and also when a call has queued for too long. Both come after
-/// about 2 s, so they can't be told apart, and are taken as down: a node that took an outage for a long queue would send
-/// nothing for as long as it lasts.
+/// HTTP status that discovery answers when it is down, and also when a call has queued for too long. Both
+/// come after about 2 s, so they can't be told apart, and are taken as down: a node that took an outage for a
+/// long queue would send nothing for as long as it lasts.
 const SERVICE_UNAVAILABLE: u16 = 503;
-/// A new address of discovery may not answer yet. It is called again at this interval, until [`NEW_ADDRESS_RETRY_TIME`]
-/// after it was set.
+/// A new address of discovery may not answer yet. It is called again at this interval, until
+/// [`NEW_ADDRESS_RETRY_TIME`] after it was set.
 const NEW_ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const NEW_ADDRESS_RETRY_TIME: Duration = Duration::from_millis(3_000);
 
@@ -58,12 +59,19 @@
         let Some(address) = node.discovery.get() else { return };
         let error = tokio::select! {
             biased;
-            // The address has changed: drops the call under way with its connection and calls the new address at once.
+            // The address has changed: drops the call under way with its connection and calls the new address
+            // at once.
             () = node.redirected.notified() => {
                 address_changed_at = Some(Instant::now());
                 continue;
             }
-            error = call_until_failure(&node, address, &zones, &mut address_changed_at, &mut refetch_whole) => error,
+            error = call_until_failure(
+                &node,
+                address,
+                &zones,
+                &mut address_changed_at,
+                &mut refetch_whole,
+            ) => error,
         };
         let FailedCall { failure, error, retry_now } = error;
         node.with(|broker, now| broker.call_failed(now, failure));
@@ -87,8 +95,8 @@
     }
 }
 
-/// Calls discovery until a call fails. It first requests the whole list at a new address, whose version numbers may
-/// differ from those of the old address, and after an answer that was older than the list in use.
+/// Calls discovery until a call fails. It first requests the whole list at a new address, whose version
+/// numbers may differ from those of the old address, and after an answer that was older than the list in use.
 async fn call_until_failure(
     node: &Rc<Node>,
     address: SocketAddr,
@@ -152,8 +160,8 @@
             stream = None;
         }
         match decode(&reply.body, zones) {
-            // An answer without changes is not passed to the decision module, except the first, which shows that the
-            // watch has started.
+            // An answer without changes is not passed to the decision module, except the first, which shows
+            // that the watch has started.
             Ok(list) if !first && list.has_no_changes(node.broker.borrow().pool_seq()) => {
                 node.with(|broker, now| broker.list_confirmed(now, as_of(now)));
             }
@@ -283,8 +291,9 @@
     }
 }
 
-/// Handles an invalid answer, whose changes count as told. If a watch was established, it is restarted at once, but only
-/// once: if the first call of the new watch fails as well, the decision module decides when to call again.
+/// Handles an invalid answer, whose changes count as told. If a watch was established, it is restarted at
+/// once, but only once: if the first call of the new watch fails as well, the decision module decides when to
+/// call again.
 fn invalid_answer(node: &Rc<Node>, began: Instant, error: &str, was_established: bool) -> FailedCall {
     node.with(|broker, now| broker.discovery_answer_invalid(now - milliseconds(began.elapsed())));
     FailedCall { retry_now: was_established, ..FailedCall::unanswered(error) }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,6 +1,6 @@
-//! The operator file. It configures either the XMPP front with an inventory, or the platform's front by naming a
-//! configuration file of the platform's form. For both it sets what the platform's configuration can't: records and
-//! fleet.
+//! The operator file. It configures either the XMPP front with an inventory, or the platform's front by
+//! naming a configuration file of the platform's form. For both it sets what the platform's configuration
+//! can't: records and fleet.
 
 use crate::api::{Class, ListedWeight, Millis, Settings, Tenant};
 use crate::config::{self, Config, ConfigError, Fleet, Records, Site, address};
@@ -67,14 +67,14 @@
         let RawAgree { voters, folder } = self;
         let names: std::collections::BTreeSet<&String> = voters.iter().collect();
         if ![1, 3, 5, 7].contains(&voters.len()) || names.len() < voters.len() {
-            errors.push("fleet.agree.voters: 1, 3, 5 or 7 different names are wanted".into());
+            errors.push("fleet.agree.voters: must be 1, 3, 5 or 7 different names".into());
         }
         for (n, _) in voters.iter().enumerate().filter(|(_, voter)| !hopmoor_fleet::identity::is_name(voter))
         {
-            errors.push(format!("fleet.agree.voters[{n}]: not a node's name"));
+            errors.push(format!("fleet.agree.voters[{n}]: not a valid node name"));
         }
         if folder.is_none() && voters.iter().any(|voter| voter == name) {
-            errors.push("fleet.agree.folder: wanted, since this node votes".into());
+            errors.push("fleet.agree.folder: required, as this node is a voter".into());
         }
         config::Agreement { voters, folder: base_dir.join(folder.unwrap_or_default()) }
     }
@@ -95,7 +95,7 @@
             let usable = |a: &SocketAddr| field == "listen" || !(a.ip().is_unspecified() || a.port() == 0);
             match read {
                 Ok(address) if usable(&address) => return Some(address),
-                Ok(address) => errors.push(format!("fleet.{field}: nobody can be reached at {address}")),
+                Ok(address) => errors.push(format!("fleet.{field}: other nodes can't connect to {address}")),
                 Err(ConfigError(error)) => errors.push(error),
             }
             None
@@ -105,18 +105,17 @@
         let seeds: Vec<SocketAddr> =
             self.seeds.iter().enumerate().filter_map(|(n, text)| at(&format!("seeds[{n}]"), text)).collect();
         if self.advertise.is_none() && listen.is_some_and(|listen| listen.ip().is_unspecified()) {
-            errors.push("fleet.advertise: wanted where fleet.listen is any address".into());
+            errors.push("fleet.advertise: required, as fleet.listen is an unspecified address".into());
         }
         if self.seeds.len() > MAX_SEEDS {
-            errors.push(format!("fleet.seeds: more than {MAX_SEEDS}"));
+            errors.push(format!("fleet.seeds: more than {MAX_SEEDS} addresses"));
         }
         if self.zone.len() > MAX_ZONE_BYTES {
             errors.push(format!("fleet.zone: longer than {MAX_ZONE_BYTES} bytes"));
         }
         if !hopmoor_fleet::identity::is_name(name) {
-            errors.push(
-                "name: a node of a fleet needs one of 1 to 64 bytes, without control characters".into(),
-            );
+            errors
+                .push("name: must have 1 to 64 bytes and no control characters for a node of a fleet".into());
         }
         let agree = self.agree.map(|agree| agree.check(name, base_dir, &mut errors));
         let keys = base_dir.join(&self.keys);
@@ -158,16 +157,16 @@
         let base = Keep::default();
         let segment_bytes = self.segment_bytes.unwrap_or(base.segment_bytes);
         if !(4_096..=64 << 20).contains(&segment_bytes) {
-            return Err(ConfigError("records.segment_bytes: not from 4096 to 67108864".into()));
+            return Err(ConfigError("records.segment_bytes: must be from 4096 to 67108864".into()));
         }
         let keep_bytes = self.keep_bytes.unwrap_or(base.keep_bytes);
         if keep_bytes < 2 * segment_bytes {
-            return Err(ConfigError("records.keep_bytes: less than two segments".into()));
+            return Err(ConfigError("records.keep_bytes: must be at least two segments".into()));
         }
         let hours = self.keep_hours.unwrap_or(base.keep_for.as_secs_f64() / 3_600.0);
         // At most ten years. Guards against times beyond the clock's range.
         if !(hours > 0.0 && hours <= 87_600.0) {
-            return Err(ConfigError("records.keep_hours: not over 0 and up to 87600".into()));
+            return Err(ConfigError("records.keep_hours: must be above 0 and at most 87600".into()));
         }
         let folder = base_dir.join(&self.folder);
         let about = |error| ConfigError(format!("records.folder: {}: {error}", folder.display()));
