--- a/src/main.rs
+++ b/src/main.rs
@@ -40,7 +40,7 @@
   --config FILE         the platform's configuration; without it NODE_CONFIG names one
   --operator FILE       an operator file: XMPP with an inventory, or the platform's front
   --xmpp FILE           older name of --operator
-  --log-format FORMAT   text (the default) or json: one object per line, with node, incarnation and time
+  --log-format FORMAT   text (the default) or json: one object per line (node, incarnation, RFC 3339 time)
 
 environment: NODE_CONFIG, NODE_ADMIN, NODE_PASSED_SOCKET, HOPMOOR_LOG_FORMAT (see hopmoor help)
 signals: SIGUSR1 logs the counters, SIGHUP reloads configuration, inventory and fleet keys
@@ -132,7 +132,7 @@
         None => config::read(&file).map(|config| (config, FrontConfig::Platform(file.clone()))),
         Some(_) => operator::read(&file).map(|setup| match setup.front {
             Front::Platform(config) => (setup.config, FrontConfig::Platform(config)),
-            Front::Xmpp(realm, inventory) => (setup.config, FrontConfig::Xmpp(realm, inventory)),
+            Front::Xmpp(settings, inventory) => (setup.config, FrontConfig::Xmpp(settings, inventory)),
         }),
     };
     let loaded = loaded.and_then(|(mut config, front_config)| {
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -137,7 +137,7 @@
         Operation::Drain => {
             match fleet_agreement(node) {
                 Some((_, agree)) => return agree.drain(node),
-                None if node.agrees => {
+                None if node.needs_permit => {
                     return admin::response(503, "", "not in the fleet yet: nobody can be asked\n");
                 }
                 None => {}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -119,7 +119,7 @@
     /// Whether the configuration has a fleet.
     in_fleet: bool,
     /// Whether drains need the fleet's permit.
-    agrees: bool,
+    needs_permit: bool,
 }
 
 impl Node {
@@ -366,7 +366,7 @@
         recorder,
         fleet: RefCell::default(),
         in_fleet: config.fleet.is_some(),
-        agrees: config.fleet.as_ref().is_some_and(|fleet| fleet.agree.is_some()),
+        needs_permit: config.fleet.as_ref().is_some_and(|fleet| fleet.agree.is_some()),
     });
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -395,14 +395,14 @@
     let mut source;
     let front: Box<dyn Fn(Millis) -> Box<dyn Front>> = match front_config {
         FrontConfig::Platform(file) => {
-            let names = Rc::new(platform::PlatformSettings::new(&config.site));
+            let platform_settings = Rc::new(platform::PlatformSettings::new(&config.site));
             source = Source::Config(file, Box::new(config));
-            Box::new(move |now| Box::new(platform::Session::new(now, names.clone())))
+            Box::new(move |now| Box::new(platform::Session::new(now, platform_settings.clone())))
         }
-        FrontConfig::Xmpp(realm, file) => {
+        FrontConfig::Xmpp(xmpp_settings, file) => {
             source = Source::Inventory(file);
-            let realm = Rc::new(realm);
-            Box::new(move |now| Box::new(xmpp::Session::new(now, realm.clone())))
+            let xmpp_settings = Rc::new(xmpp_settings);
+            Box::new(move |now| Box::new(xmpp::Session::new(now, xmpp_settings.clone())))
         }
     };
     tokio::task::spawn_local(accept(node.clone(), listener, front, listener_passed));
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -20,6 +20,7 @@
 /// answer arrived. The time-outs below let a silent watch be given up, and the next call be answered, within
 /// these 6 s.
 const LONG_POLL_MS: u64 = 2_000;
+/// Hold time of a call that asks for an immediate answer.
 const IMMEDIATE_POLL_MS: u64 = 1;
 /// Time beyond the hold time after which a call counts as unanswered; also the limit for connecting.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -30,7 +31,9 @@
 const READ_GRACE: Duration = QUEUED_ANSWER_TIMEOUT;
 /// An answer that pauses for this long may already have been written in full, so its changes count as told.
 const STALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time in which an answer of known length has to be completed, at its pace so far.
 const MAX_READ_TIME: Duration = Duration::from_secs(20);
+/// Minimum pace of an answer of unknown length.
 const MIN_BYTES_PER_SECOND: f64 = 16_384.0;
 /// After an answer that took longer than this to read, the next call asks for an immediate answer, as the
 /// list just read may be outdated.
