--- a/src/admin.rs
+++ b/src/admin.rs
@@ -2,7 +2,7 @@
 //! bytes, and the responses.
 
 use crate::broker::{ClassCounts, Stats};
-use hopmoor_agree::{Most, Part, Permit, Scope};
+use hopmoor_agree::{BudgetLimit, Participant, Permit, Scope};
 use hopmoor_fleet::{self as fleet, View};
 use httparse::Status;
 use percent_encoding::percent_decode_str;
@@ -30,7 +30,7 @@
     /// Reports the drain permits and budgets that the fleet has agreed on.
     Permits,
     /// Sets how many nodes of a scope may drain at once.
-    Budget(Scope, Most),
+    Budget(Scope, BudgetLimit),
 }
 
 /// Each path without parameters, the only method it accepts and its operation.
@@ -119,8 +119,8 @@
                 let share =
                     value.strip_suffix('%').map(|share| share.parse().ok().filter(|share| *share <= 100));
                 most = match share {
-                    Some(share) => share.map(Most::Percent),
-                    None => value.parse().ok().map(Most::Number),
+                    Some(share) => share.map(BudgetLimit::Percent),
+                    None => value.parse().ok().map(BudgetLimit::Number),
                 };
             }
             _ => return Err(RequestError::InvalidQuery("known are 'most' and 'zone'")),
@@ -176,17 +176,17 @@
 
 /// Builds the JSON response that shows the node's drain request and permit. A voter adds what its Raft log
 /// holds: leader, term, index, budgets and all permits.
-pub fn permits_response(name: &str, participant: &Part) -> Vec<u8> {
+pub fn permits_response(name: &str, participant: &Participant) -> Vec<u8> {
     let mut body = json!({
-        "node": name, "asks": participant.asking().told(), "permit": participant.asking().fence(), "votes": participant.voter().is_some(),
-        "silent": participant.silent(),
+        "node": name, "asks": participant.permit_client().status_text(), "permit": participant.permit_client().fence(), "votes": participant.voter().is_some(),
+        "silent": participant.not_voting_reason(),
     });
     if let Some(voter) = participant.voter() {
         let state = voter.state();
-        let budget = |(scope, most): (&Scope, Most)| {
+        let budget = |(scope, most): (&Scope, BudgetLimit)| {
             let most = match most {
-                Most::Number(number) => number.to_string(),
-                Most::Percent(share) => format!("{share}%"),
+                BudgetLimit::Number(number) => number.to_string(),
+                BudgetLimit::Percent(share) => format!("{share}%"),
             };
             json!({"scope": scope.to_string(), "most": most})
         };
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!(parse(b"GET /-/reddy HTTP/1.1\r\n\r\n"), Some(Err(RequestError::NotFound)));
     assert_eq!(parse(b"GET /-/ready?a=1 HTTP/1.0\r\n\r\n"), Some(Ok(Operation::Ready)));
     let budget = parse(b"PUT /-/budget?most=25%25&zone=a%20b HTTP/1.1\r\n\r\n");
-    assert_eq!(budget, Some(Ok(Operation::Budget(Scope::Zone("a b".into()), Most::Percent(25)))));
+    assert_eq!(budget, Some(Ok(Operation::Budget(Scope::Zone("a b".into()), BudgetLimit::Percent(25)))));
     for bad in ["most=101%25", "most=-1", "zone=a", "most=1&zone=", "most=1&pool=x", "most=%ff"] {
         let call = format!("PUT /-/budget?{bad} HTTP/1.1\r\n\r\n");
         assert!(matches!(parse(call.as_bytes()), Some(Err(RequestError::InvalidQuery(_)))), "{bad}");
--- a/src/config.rs
+++ b/src/config.rs
@@ -3,7 +3,7 @@
 
 use crate::api::*;
 use crate::pool::{PoolList, RawList};
-use hopmoor_record::Keep;
+use hopmoor_record::Retention;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     /// A folder that no other node uses.
     pub folder: PathBuf,
     /// Limits of size and age.
-    pub keep: Keep,
+    pub retention: Retention,
 }
 
 /// How a node and the other nodes of its fleet find each other.
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -8,8 +8,8 @@
 use crate::config;
 use crate::membership;
 use hopmoor_agree::voter::TICK_MS;
-use hopmoor_agree::{Entry, Most, Note, Order, Part, Scope};
-use hopmoor_vote::Folder;
+use hopmoor_agree::{Action, BudgetLimit, Entry, Participant, Scope, VoterStatus};
+use hopmoor_vote::VoterStore;
 use slog::{Drain, info, warn};
 use std::cell::RefCell;
 use std::io;
@@ -30,7 +30,7 @@
 /// This node's side of the agreement.
 pub(super) struct Agreement {
     folder: PathBuf,
-    participant: RefCell<Part>,
+    participant: RefCell<Participant>,
     wake: Notify,
 }
 
@@ -41,7 +41,7 @@
         // Below warnings raft logs each vote and append, which is of use only when debugging raft itself.
         let log = slog::LevelFilter::new(log.clone(), slog::Level::Warning).fuse();
         let log = slog::Logger::root(log, slog::o!("part" => "raft"));
-        let participant = Part::new(name, &config.voters, u64::from_le_bytes(random_bytes()?), log);
+        let participant = Participant::new(name, &config.voters, u64::from_le_bytes(random_bytes()?), log);
         Ok(Agreement {
             folder: config.folder.clone(),
             participant: RefCell::new(participant),
@@ -62,23 +62,23 @@
         }
         let mut participant = self.participant.borrow_mut();
         match random_bytes() {
-            Ok(number) => participant.ask(u128::from_le_bytes(number)),
+            Ok(number) => participant.request_permit(u128::from_le_bytes(number)),
             Err(error) => return admin::response(503, "", &format!("{error}\n")),
         }
         self.wake.notify_one();
-        let status_text = participant.asking().told().unwrap_or_default();
+        let status_text = participant.permit_client().status_text().unwrap_or_default();
         let status = if standing == Err(Unready::Draining) { 200 } else { 202 };
         admin::response(status, "", &format!("{status_text}\n"))
     }
 
     /// Handles an operator's resume command: returns the permit, or withdraws the request for one.
     pub(super) fn resume(&self) {
-        self.participant.borrow_mut().give_back();
+        self.participant.borrow_mut().release();
         self.wake.notify_one();
     }
 
     /// Proposes a drain budget; it is in force once the log has committed it.
-    pub(super) fn set_budget(&self, scope: Scope, most: Most) -> Vec<u8> {
+    pub(super) fn set_budget(&self, scope: Scope, most: BudgetLimit) -> Vec<u8> {
         let proposed = self.participant.borrow_mut().set_budget(&Entry::Budget(scope, most));
         self.wake.notify_one();
         match proposed {
@@ -102,11 +102,11 @@
 /// Runs the agreement until the fleet link is closed.
 pub(super) async fn run(node: Rc<Node>, link: Rc<Link>, agree: Rc<Agreement>) {
     let participant = &agree.participant;
-    let is_voter = participant.borrow().is_to_vote();
+    let is_voter = participant.borrow().is_voter();
     let folder = if is_voter { open_folder(&node, &link, &agree).await } else { None };
     if let Some(folder) = &folder {
         match folder.read() {
-            Ok(found) => participant.borrow_mut().opened(found),
+            Ok(persist_founders) => participant.borrow_mut().folder_opened(persist_founders),
             Err(error) => participant.borrow_mut().stop(&error.to_string()),
         }
     }
@@ -126,10 +126,10 @@
         if is_tick {
             participant.borrow_mut().tick(now);
         }
-        if now >= next_view_ms && participant.borrow().wants_view() {
+        if now >= next_view_ms && participant.borrow().is_leader() {
             next_view_ms = now + VIEW_INTERVAL_MS;
             let seen_nodes = membership::seen_nodes(&link.view(&node));
-            participant.borrow_mut().sees(&seen_nodes);
+            participant.borrow_mut().update_view(&seen_nodes);
         }
         execute_orders(&node, &link, &agree, folder.as_ref()).await;
         log_notes(&node, &agree);
@@ -138,18 +138,18 @@
 
 /// Logs the notes of the agreement.
 fn log_notes(node: &Node, agree: &Agreement) {
-    while let Some(note) = agree.participant.borrow_mut().note() {
-        match note {
-            Note::Votes { term } => info!(node.log, "voting on drains"; "term" => term),
-            Note::Silent(why) => warn!(node.log, "not voting on drains"; "why" => why),
+    while let Some(voter_status) = agree.participant.borrow_mut().voter_status() {
+        match voter_status {
+            VoterStatus::Voting { term } => info!(node.log, "voting on drains"; "term" => term),
+            VoterStatus::NotVoting(why) => warn!(node.log, "not voting on drains"; "why" => why),
         }
     }
 }
 
 /// Opens the folder of log and vote; tries again while the old process of an upgrade holds it.
-async fn open_folder(node: &Node, link: &Link, agree: &Agreement) -> Option<Arc<Folder>> {
+async fn open_folder(node: &Node, link: &Link, agree: &Agreement) -> Option<Arc<VoterStore>> {
     for _ in 0..MAX_FOLDER_ATTEMPTS {
-        match Folder::open(&agree.folder) {
+        match VoterStore::open(&agree.folder) {
             Ok(folder) => return Some(Arc::new(folder)),
             Err(_) if link.is_closed() => return None,
             Err(error) => agree.participant.borrow_mut().stop(&error.to_string()),
@@ -161,41 +161,48 @@
 }
 
 /// Executes the queued orders of the agreement, then those of the fleet link.
-async fn execute_orders(node: &Rc<Node>, link: &Rc<Link>, agree: &Agreement, folder: Option<&Arc<Folder>>) {
+async fn execute_orders(
+    node: &Rc<Node>,
+    link: &Rc<Link>,
+    agree: &Agreement,
+    folder: Option<&Arc<VoterStore>>,
+) {
     let participant = &agree.participant;
     loop {
-        let Some(order) = participant.borrow_mut().order() else { break };
-        match (order, folder) {
-            (Order::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
-            (Order::Drain(permit), _) => {
+        let Some(next_action) = participant.borrow_mut().next_action() else { break };
+        match (next_action, folder) {
+            (Action::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
+            (Action::Drain(permit), _) => {
                 let done = node.with(|broker, now| broker.drain(now));
                 // Announced at once: the permit is revoked if a later incarnation of this node is seen as
                 // serving.
                 super::fleet::announce(node, link);
                 info!(node.log, "draining on a permit"; "permit" => permit, "done" => done);
             }
-            (Order::Found(founders), Some(folder)) => {
+            (Action::PersistFounders(founders), Some(folder)) => {
                 let folder = folder.clone();
-                let done = tokio::task::spawn_blocking(move || folder.found(&founders)).await;
+                let done = tokio::task::spawn_blocking(move || folder.persist_founders(&founders)).await;
                 match done.map_err(|error| error.to_string()).and_then(|done| done.map_err(|e| e.to_string()))
                 {
-                    Ok(()) => participant.borrow_mut().founded(),
+                    Ok(()) => participant.borrow_mut().founders_persisted(),
                     Err(error) => participant.borrow_mut().stop(&error),
                 }
             }
-            (Order::Keep(work), Some(folder)) => {
+            (Action::Persist(work), Some(folder)) => {
                 // Sends what need not wait for the disk. The write runs on a blocking thread, so clients are
                 // served meanwhile.
                 super::fleet::execute_actions(node, link);
                 let folder = folder.clone();
-                let done = tokio::task::spawn_blocking(move || folder.keep(&work)).await;
+                let done = tokio::task::spawn_blocking(move || folder.persist(&work)).await;
                 match done.map_err(|error| error.to_string()).and_then(|done| done.map_err(|e| e.to_string()))
                 {
-                    Ok(()) => participant.borrow_mut().kept(),
+                    Ok(()) => participant.borrow_mut().persisted(),
                     Err(error) => participant.borrow_mut().stop(&error),
                 }
             }
-            (Order::Found(_) | Order::Keep(_), None) => participant.borrow_mut().stop("it has no folder"),
+            (Action::PersistFounders(_) | Action::Persist(_), None) => {
+                participant.borrow_mut().stop("it has no folder")
+            }
         }
     }
     super::fleet::execute_actions(node, link);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -410,7 +410,7 @@
     tokio::task::spawn_local(async move {
         tokio::time::sleep(Duration::from_millis(CONFIGURED_LIST_AFTER_MS)).await;
         let mut waited = CONFIGURED_LIST_AFTER_MS;
-        while waited < READY_DEADLINE_MS && !waiting.with(|broker, now| broker.list_holds(now)) {
+        while waited < READY_DEADLINE_MS && !waiting.with(|broker, now| broker.list_lease_valid(now)) {
             tokio::time::sleep(Duration::from_millis(READY_POLL_MS)).await;
             waited += READY_POLL_MS;
         }
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::api::Millis;
 use crate::broker::ListError;
-use crate::discovery::{Call, Reply, since, whole};
+use crate::discovery::{Call, Reply, changes_request, full_list_request};
 use crate::freshness::{CallFailure, PROMPT_REFUSAL_MS};
 use crate::pool::decode;
 use slog::warn;
@@ -77,7 +77,7 @@
             ) => error,
         };
         let FailedCall { failure, error, retry_now } = error;
-        node.with(|broker, now| broker.call_failed(now, failure));
+        node.with(|broker, now| broker.discovery_call_failed(now, failure));
         if retry_now {
             // The changes in the lost answer count as told already, so the node calls again without delay.
             warn!(node.log, "discovery failed"; "error" => error, "again" => "at once");
@@ -114,9 +114,9 @@
         let wait =
             if first || slow || address_changed_at.is_some() { IMMEDIATE_POLL_MS } else { LONG_POLL_MS };
         let request = if address_changed_at.is_some() || std::mem::take(refetch_whole) {
-            whole(&authority)
+            full_list_request(&authority)
         } else {
-            since(&authority, node.broker.borrow().pool_seq(), wait)
+            changes_request(&authority, node.broker.borrow().pool_seq(), wait)
         };
         let grace = if first { QUEUED_ANSWER_TIMEOUT } else { ANSWER_TIMEOUT };
         let limit = Duration::from_millis(wait) + grace;
