--- a/crates/incident/src/analysis/drawn.rs
+++ b/crates/incident/src/analysis/drawn.rs
@@ -1,58 +1,62 @@
-//! Findings drawn up once everything has been read.
+//! Builds the findings once all records have been read.
 
 use super::*;
 
 impl Analysis {
-    /// Nothing more comes: draws up what was found.
+    /// Builds the findings; to be called after the last record.
     pub fn finish(mut self) -> Findings {
         if self.from.is_nan() {
-            return Findings { doubts: self.doubts, ..Findings::default() };
+            return Findings { doubts: self.data_issues, ..Findings::default() };
         }
-        let rush = std::mem::take(&mut self.rush);
-        self.rushes.extend((rush.real).then_some(rush));
-        self.tracks.values_mut().for_each(|track| track.end(self.until));
-        if self.neighbours.more() > 0 {
-            let what = format!("{} further deaths of nodes are not listed", self.neighbours.more());
-            self.doubts.push(Doubt { at: self.until, node: String::new(), what });
+        let shortage = std::mem::take(&mut self.shortage);
+        self.shortages.extend((shortage.is_incident).then_some(shortage));
+        self.members.values_mut().for_each(|history| history.finish(self.until));
+        if self.peer_deaths.unlisted() > 0 {
+            let what = format!("{} further deaths of nodes are not listed", self.peer_deaths.unlisted());
+            self.data_issues.push(DataIssue { at: self.until, node: String::new(), what });
         }
-        if self.doubts_more > 0 {
-            let what = format!("{} further doubts are not listed", self.doubts_more);
-            self.doubts.push(Doubt { at: self.until, node: String::new(), what });
+        if self.unlisted_issues > 0 {
+            let what = format!("{} further doubts are not listed", self.unlisted_issues);
+            self.data_issues.push(DataIssue { at: self.until, node: String::new(), what });
         }
         let ledger = std::mem::replace(&mut self.ledger, Ledger::new(self.from));
         let scale = ledger.scale;
-        let mut account = ledger.finish(self.until);
-        self.late_at_members(&scale, &mut account);
+        let mut totals = ledger.finish(self.until);
+        self.add_losses_at_members(&scale, &mut totals);
         let mut incidents = self.incidents();
-        let unexplained = self.explain(&scale, &mut incidents, &mut account);
-        self.draw_up(&scale, incidents, account, unexplained)
+        let unexplained = self.attribute_losses(&scale, &mut incidents, &mut totals);
+        self.build_findings(&scale, incidents, totals, unexplained)
     }
 
-    /// What stood at members while they were silent or slow was lost.
-    pub(super) fn late_at_members(&self, scale: &Scale, account: &mut wants::Account) {
-        for (id, track) in &self.tracks {
-            let mut slowness = track.slowness.iter();
+    /// Counts the time that clients were connected to a silent or slow member as lost service.
+    ///
+    /// Slowness affects only the classes whose message time target was missed.
+    pub(super) fn add_losses_at_members(&self, scale: &Scale, totals: &mut wants::LedgerTotals) {
+        for (id, history) in &self.members {
+            let mut slow_means_ms = history.slow_span_means_ms.iter();
             let mut covered: Vec<(f64, f64)> = Vec::new();
-            for span in track.spans() {
-                let (why, late) = match span.state {
-                    State::Silent => (Why::Silent, f64::INFINITY),
-                    State::Slow => (Why::Slow, slowness.next().copied().unwrap_or(f64::INFINITY)),
+            for span in history.spans() {
+                let (cause, message_ms) = match span.state {
+                    State::Silent => (MemberCause::Silent, f64::INFINITY),
+                    State::Slow => {
+                        (MemberCause::Slow, slow_means_ms.next().copied().unwrap_or(f64::INFINITY))
+                    }
                     _ => continue,
                 };
                 let until = span.until.unwrap_or(self.until);
-                for (place, class) in self.site.classes.iter().enumerate() {
-                    let hit = span.state == State::Silent
-                        || class.message_aim_ms > 0.0 && late > class.message_aim_ms;
-                    let Some(curve) = account.standing.get(&(*id, place as u32)).filter(|_| hit) else {
+                for (index, class) in self.site.classes.iter().enumerate() {
+                    let affected = span.state == State::Silent
+                        || class.message_aim_ms > 0.0 && message_ms > class.message_aim_ms;
+                    let Some(curve) = totals.standing.get(&(*id, index as u32)).filter(|_| affected) else {
                         continue;
                     };
-                    // Seconds in which it was both count once, for what was seen first.
+                    // Time in which the member was both silent and slow counts once, for the earlier span.
                     for (from, until) in uncovered(&covered, span.from, until) {
-                        let worth = curve.between(scale, from, until);
+                        let worth = curve.sum_between(scale, from, until);
                         let rate = worth / (until - from).max(1e-9);
-                        let key = (Cause::Member(*id, why), place as u32);
-                        account.lost.entry(key).or_default().spread(scale, from, until, rate);
-                        account.by_class.entry(place as u32).or_default().1 += worth;
+                        let key = (Cause::Member(*id, cause), index as u32);
+                        totals.lost.entry(key).or_default().add_rate(scale, from, until, rate);
+                        totals.by_class.entry(index as u32).or_default().1 += worth;
                     }
                 }
                 covered.push((span.from, until));
@@ -61,7 +65,7 @@
     }
 
     pub(super) fn name(&self, member: MemberId) -> String {
-        match self.tracks.get(&member).map(|track| &track.name) {
+        match self.members.get(&member).map(|history| &history.name) {
             Some(name) if !name.is_empty() => name.clone(),
             _ => format!("{:016x}", member.0),
         }
@@ -75,9 +79,10 @@
         self.site.tenants.get(tenant as usize).cloned().unwrap_or_else(|| tenant.to_string())
     }
 
+    /// Lists all incidents by their start, with the member or node that each concerns and no losses yet.
     pub(super) fn incidents(&self) -> Vec<(Option<MemberId>, Option<Origin>, Incident)> {
         let mut all = Vec::new();
-        let blank = |kind, subject: String, from, until, cause| Incident {
+        let incident = |kind, subject: String, from, until, cause| Incident {
             number: 0,
             kind,
             subject,
@@ -88,39 +93,45 @@
             share: 0.0,
             by_class: Vec::new(),
         };
-        for (id, track) in &self.tracks {
-            for span in track.spans().iter().filter(|span| span.state != State::Avoided) {
-                let cause = describe(&track.name, span, self.until);
+        for (id, history) in &self.members {
+            for span in history.spans().iter().filter(|span| span.state != State::Avoided) {
+                let cause = describe(&history.name, span, self.until);
                 let kind = IncidentKind::Member(span.state);
-                all.push((Some(*id), None, blank(kind, track.name.clone(), span.from, span.until, cause)));
+                all.push((
+                    Some(*id),
+                    None,
+                    incident(kind, history.name.clone(), span.from, span.until, cause),
+                ));
             }
         }
-        for (at, source) in self.sources.iter().enumerate() {
-            let origin = Some(Origin(at));
+        for (node, source) in self.sources.iter().enumerate() {
+            let origin = Some(Origin(node));
             let name = || source.name.clone();
-            for (place, run) in source.runs.iter().enumerate() {
-                let next = source.runs.get(place + 1).map(|next| next.from);
-                let back = match next {
+            for (index, run) in source.runs.iter().enumerate() {
+                let next = source.runs.get(index + 1).map(|next| next.from);
+                let return_text = match next {
                     Some(next) => format!("back after {}", seconds(next - run.until)),
                     None => "not heard of again".into(),
                 };
                 match (run.end, run.leaving) {
                     (RunEnd::Stopped, leaving) => {
                         let from = leaving.unwrap_or(run.until);
-                        // The end of the records is not a trouble if all of them end there.
+                        // A last run that ended in good order, without being told to, is where all records
+                        // end and no incident.
                         if next.is_none() && leaving.is_none() {
                             continue;
                         }
-                        let cause = format!("node {} left and ended in good order; {back}", source.name);
-                        all.push((None, origin, blank(IncidentKind::NodeLeft, name(), from, next, cause)));
+                        let cause =
+                            format!("node {} left and ended in good order; {return_text}", source.name);
+                        all.push((None, origin, incident(IncidentKind::NodeLeft, name(), from, next, cause)));
                     }
                     (RunEnd::Cut, _) => {
                         let cause =
-                            format!("records of node {} end without a word here; {back}", source.name);
+                            format!("records of node {} end without a word here; {return_text}", source.name);
                         all.push((
                             None,
                             origin,
-                            blank(IncidentKind::NodeCut, name(), run.until, next, cause),
+                            incident(IncidentKind::NodeCut, name(), run.until, next, cause),
                         ));
                     }
                     (RunEnd::RecordsEnd, _) if self.until - run.until > 2_000.0 => {
@@ -131,7 +142,7 @@
                         all.push((
                             None,
                             origin,
-                            blank(IncidentKind::NodeCut, name(), run.until, None, cause),
+                            incident(IncidentKind::NodeCut, name(), run.until, None, cause),
                         ));
                     }
                     (RunEnd::RecordsEnd, _) => {}
@@ -140,93 +151,100 @@
             for gap in &source.gaps {
                 let cause = format!("{} records of node {} lost", gap.lost, source.name);
                 let kind = IncidentKind::RecordsLost;
-                all.push((None, origin, blank(kind, name(), gap.from, Some(gap.until), cause)));
+                all.push((None, origin, incident(kind, name(), gap.from, Some(gap.until), cause)));
             }
         }
-        for (origin, from, until, count) in &self.blinds {
+        for (origin, from, until, count) in &self.discovery_outages {
             let name = self.sources[origin.0].name.clone();
             let cause = format!("node {name} could not ask discovery, {count} time(s)");
-            all.push((None, Some(*origin), blank(IncidentKind::Blind, name, *from, Some(*until), cause)));
+            all.push((None, Some(*origin), incident(IncidentKind::Blind, name, *from, Some(*until), cause)));
         }
-        all.extend(self.neighbours.incidents().map(|found| (None, None, found)));
-        for rush in &self.rushes {
-            let listed = |names: &mut dyn Iterator<Item = (String, u64)>| {
-                let mut parts: Vec<_> = names.collect();
+        all.extend(self.peer_deaths.incidents().map(|incident| (None, None, incident)));
+        for shortage in &self.shortages {
+            let most_affected = |counts: &mut dyn Iterator<Item = (String, u64)>| {
+                let mut parts: Vec<_> = counts.collect();
                 parts.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-                let words: Vec<_> =
+                let texts: Vec<_> =
                     parts.into_iter().take(4).map(|(name, count)| format!("{name} {count}")).collect();
-                words.join(", ")
+                texts.join(", ")
             };
-            let classes =
-                listed(&mut rush.by_class.iter().map(|(class, count)| (self.class_name(*class), *count)));
-            let tenants =
-                listed(&mut rush.by_tenant.iter().map(|(tenant, count)| (self.tenant_name(*tenant), *count)));
-            let (away, late) = (rush.count, rush.late);
-            let cause =
-                format!("{away} transactions turned away and {late} served late: {classes}; of {tenants}");
+            let classes = most_affected(
+                &mut shortage.by_class.iter().map(|(class, count)| (self.class_name(*class), *count)),
+            );
+            let tenants = most_affected(
+                &mut shortage.by_tenant.iter().map(|(tenant, count)| (self.tenant_name(*tenant), *count)),
+            );
+            let (turned_away, late) = (shortage.turned_away, shortage.late);
+            let cause = format!(
+                "{turned_away} transactions turned away and {late} served late: {classes}; of {tenants}"
+            );
             let kind = IncidentKind::NoRoom;
-            all.push((None, None, blank(kind, String::new(), rush.from, Some(rush.until), cause)));
+            all.push((None, None, incident(kind, String::new(), shortage.from, Some(shortage.until), cause)));
         }
         all.sort_by(|a, b| a.2.from.total_cmp(&b.2.from));
         all
     }
 
-    /// Gives each lost piece to the incident that its cause names; returns what none explains.
-    pub(super) fn explain(
+    /// Attributes each lost piece of service to the incident that fits its cause. Returns the worth-seconds
+    /// that no incident explains.
+    pub(super) fn attribute_losses(
         &self,
         scale: &Scale,
         incidents: &mut [(Option<MemberId>, Option<Origin>, Incident)],
-        account: &mut wants::Account,
+        totals: &mut wants::LedgerTotals,
     ) -> f64 {
         let classes = self.site.classes.len();
         incidents.iter_mut().for_each(|(_, _, incident)| incident.by_class = vec![0.0; classes]);
         let mut unexplained = 0.0;
-        for ((cause, class), curve) in &account.lost {
-            let mut left = curve.values(MOST, 1.0);
-            for kind in kinds(*cause) {
+        for ((cause, class), curve) in &totals.lost {
+            let mut unattributed = curve.values(MAX_STEPS, 1.0);
+            for kind in kinds_for(*cause) {
                 for (member, origin, incident) in incidents.iter_mut() {
-                    let fits = incident.kind == *kind
+                    let matches_cause = incident.kind == *kind
                         && match cause {
                             Cause::Member(id, _) => *member == Some(*id),
                             Cause::NodeLeft(of) | Cause::NodeCut(of) => *origin == Some(*of),
-                            Cause::Room | Cause::SetUp => true,
+                            Cause::Capacity | Cause::SetUp => true,
                         };
-                    if !fits {
+                    if !matches_cause {
                         continue;
                     }
-                    let from = incident.from - BEFORE_MS.max(scale.step);
-                    let until = incident.until.unwrap_or(self.until) + AFTER_MS;
-                    let mut taken = 0.0;
-                    for (place, value) in left.iter_mut().enumerate().filter(|(_, value)| **value > 0.0) {
-                        let at = scale.from + place as f64 * scale.step;
+                    let from = incident.from - LOSS_BEFORE_MS.max(scale.step_ms);
+                    let until = incident.until.unwrap_or(self.until) + LOSS_AFTER_MS;
+                    let mut attributed = 0.0;
+                    for (index, value) in
+                        unattributed.iter_mut().enumerate().filter(|(_, value)| **value > 0.0)
+                    {
+                        let at = scale.from + index as f64 * scale.step_ms;
                         if at >= from && at <= until {
-                            taken += f64::from(std::mem::take(value));
+                            attributed += f64::from(std::mem::take(value));
                         }
                     }
-                    incident.lost += taken;
+                    incident.lost += attributed;
                     if let Some(part) = incident.by_class.get_mut(*class as usize) {
-                        *part += taken;
+                        *part += attributed;
                     }
                 }
             }
-            unexplained += left.iter().map(|value| f64::from(*value)).sum::<f64>();
+            unexplained += unattributed.iter().map(|value| f64::from(*value)).sum::<f64>();
         }
         unexplained
     }
 
-    pub(super) fn draw_up(
+    /// Builds the findings from the incidents, the ledger's totals and the unexplained worth-seconds.
+    pub(super) fn build_findings(
         self,
         scale: &Scale,
         incidents: Vec<(Option<MemberId>, Option<Origin>, Incident)>,
-        account: wants::Account,
+        totals: wants::LedgerTotals,
         unexplained: f64,
     ) -> Findings {
-        let steps = (((self.until - self.from) / scale.step).ceil() as usize).clamp(1, MOST);
-        let per_second = 1_000.0 / scale.step;
-        let asked_sum = account.asked.sum();
+        let steps = (((self.until - self.from) / scale.step_ms).ceil() as usize).clamp(1, MAX_STEPS);
+        let per_second = 1_000.0 / scale.step_ms;
+        let asked_sum = totals.asked.sum();
         let mut lost_all = vec![0.0f64; steps];
         let mut at_member: BTreeMap<MemberId, f64> = BTreeMap::new();
-        for ((cause, _), curve) in &account.lost {
+        for ((cause, _), curve) in &totals.lost {
             for (sum, value) in lost_all.iter_mut().zip(curve.values(steps, 1.0)) {
                 *sum += f64::from(value);
             }
@@ -234,33 +252,33 @@
                 *at_member.entry(*id).or_default() += curve.sum();
             }
         }
-        let asked = account.asked.values(steps, per_second);
+        let asked = totals.asked.values(steps, per_second);
         let served = asked
             .iter()
             .zip(&lost_all)
             .map(|(asked, lost)| (f64::from(*asked) - lost * per_second).max(0.0) as f32)
             .collect();
-        let lost: f64 = account.lost.values().map(Curve::sum).sum::<f64>().min(asked_sum);
+        let lost: f64 = totals.lost.values().map(TimeSeries::sum).sum::<f64>().min(asked_sum);
         let share = |lost: f64| if asked_sum > 0.0 { lost / asked_sum } else { 0.0 };
         let zone = |zone: u32| match self.site.zones.get(zone as usize) {
             Some(zone) => zone.clone(),
             None => String::new(),
         };
-        let members = self.tracks.iter().map(|(id, track)| {
-            let mut standing = Curve::default();
-            for ((member, _), curve) in account.standing.range((*id, 0)..=(*id, u32::MAX)) {
+        let members = self.members.iter().map(|(id, history)| {
+            let mut standing = TimeSeries::default();
+            for ((member, _), curve) in totals.standing.range((*id, 0)..=(*id, u32::MAX)) {
                 debug_assert_eq!(member, id);
-                for (place, value) in curve.values(steps, per_second).iter().enumerate() {
-                    standing.count(scale, scale.from + (place as f64 + 0.5) * scale.step, f64::from(*value));
+                for (index, value) in curve.values(steps, per_second).iter().enumerate() {
+                    standing.add(scale, scale.from + (index as f64 + 0.5) * scale.step_ms, f64::from(*value));
                 }
             }
             Member {
                 name: self.name(*id),
-                zone: zone(track.zone),
-                spans: track.spans().to_vec(),
-                attempts: track.attempts,
-                served: track.served,
-                load: track.load(),
+                zone: zone(history.zone),
+                spans: history.spans().to_vec(),
+                attempts: history.attempts,
+                served: history.served,
+                load: history.load(),
                 lost: at_member.get(id).copied().unwrap_or(0.0),
                 standing: standing.values(steps, 1.0),
             }
@@ -269,15 +287,16 @@
         members.sort_by(|a, b| in_order(&a.name, &b.name));
         let rows = |counts: &BTreeMap<u32, Counts>,
                     sums: &wants::Sums,
-                    names: &dyn Fn(u32) -> String,
-                    all: usize| {
-            let most = counts.keys().chain(sums.keys()).max().map_or(0, |most| *most as usize + 1).max(all);
-            let row = |at: usize| {
-                let at = at as u32;
-                let counts = counts.get(&at).cloned().unwrap_or_default();
-                let (asked, lost) = sums.get(&at).copied().unwrap_or_default();
+                    name_of: &dyn Fn(u32) -> String,
+                    configured: usize| {
+            let row_count =
+                counts.keys().chain(sums.keys()).max().map_or(0, |last| *last as usize + 1).max(configured);
+            let row = |index: usize| {
+                let index = index as u32;
+                let counts = counts.get(&index).cloned().unwrap_or_default();
+                let (asked, lost) = sums.get(&index).copied().unwrap_or_default();
                 Account {
-                    name: names(at),
+                    name: name_of(index),
                     transactions: counts.transactions,
                     served: counts.served,
                     rejected: counts.rejected,
@@ -290,19 +309,19 @@
                     lost,
                 }
             };
-            (0..most.min(MOST)).map(row).collect::<Vec<_>>()
+            (0..row_count.min(MAX_STEPS)).map(row).collect::<Vec<_>>()
         };
         let classes =
-            rows(&self.classes, &account.by_class, &|class| self.class_name(class), self.site.classes.len());
+            rows(&self.classes, &totals.by_class, &|class| self.class_name(class), self.site.classes.len());
         let tenants = rows(
             &self.tenants,
-            &account.by_tenant,
+            &totals.by_tenant,
             &|tenant| self.tenant_name(tenant),
             self.site.tenants.len(),
         );
         let budgets = self.budgets.iter().map(|(tenant, [budget, open, queued])| {
-            let mean = |curve: &Curve| curve.values(steps, 1.0 / scale.step);
-            Budget {
+            let mean = |curve: &TimeSeries| curve.values(steps, 1.0 / scale.step_ms);
+            TenantSeries {
                 name: self.tenant_name(*tenant),
                 budget: mean(budget),
                 open: mean(open),
@@ -314,8 +333,8 @@
                 Some(curve) => curve.values(steps, 1.0),
                 None => vec![0.0; steps],
             });
-        let curves = Curves {
-            step_ms: scale.step,
+        let curves = SiteSeries {
+            step_ms: scale.step_ms,
             asked,
             served,
             arrivals: self.arrivals.values(steps, 1.0),
@@ -332,14 +351,14 @@
         });
         let incidents = incidents.into_iter().map(|(_, _, incident)| incident);
         let mut incidents: Vec<Incident> = incidents.collect();
-        if incidents.len() > MOST_INCIDENTS {
-            // Those that cost most are kept.
+        if incidents.len() > MAX_INCIDENTS {
+            // Keeps the incidents with the greatest losses.
             incidents.sort_by(|a, b| b.lost.total_cmp(&a.lost));
-            incidents.truncate(MOST_INCIDENTS);
+            incidents.truncate(MAX_INCIDENTS);
             incidents.sort_by(|a, b| a.from.total_cmp(&b.from));
         }
-        for (at, incident) in incidents.iter_mut().enumerate() {
-            incident.number = at + 1;
+        for (index, incident) in incidents.iter_mut().enumerate() {
+            incident.number = index + 1;
             incident.share = share(incident.lost);
         }
         Findings {
@@ -360,34 +379,36 @@
             members,
             incidents,
             curves,
-            doubts: self.doubts.clone(),
+            doubts: self.data_issues.clone(),
         }
     }
 }
 
-pub(super) fn names(site: &Site) -> (Vec<&str>, &[String]) {
+pub(super) fn class_and_tenant_names(site: &Site) -> (Vec<&str>, &[String]) {
     (site.classes.iter().map(|class| class.name.as_str()).collect(), &site.tenants)
 }
 
-/// Which incidents can explain a loss of this cause, the likeliest first.
-fn kinds(cause: Cause) -> &'static [IncidentKind] {
+/// Kinds of incident that can explain a loss with this cause, the most likely first.
+fn kinds_for(cause: Cause) -> &'static [IncidentKind] {
     use IncidentKind::{Member, NoRoom, NodeCut, NodeLeft};
     use State::{Dead, Draining, Gone, Refusing, Silent, Slow};
     match cause {
         Cause::SetUp => &[],
-        Cause::Room => &[NoRoom],
+        Cause::Capacity => &[NoRoom],
         Cause::NodeLeft(_) => &[NodeLeft],
         Cause::NodeCut(_) => &[NodeCut],
-        Cause::Member(_, Why::Silent) => &[Member(Silent), Member(Dead), Member(Slow)],
-        Cause::Member(_, Why::Broke) => &[Member(Dead), Member(Gone), Member(Draining), Member(Silent)],
-        Cause::Member(_, Why::Refused) => &[Member(Refusing), Member(Slow)],
-        Cause::Member(_, Why::Slow | Why::Relief) => &[Member(Slow), Member(Refusing)],
-        Cause::Member(_, Why::Drained) => &[Member(Draining), Member(Gone)],
-        Cause::Member(_, Why::Gone) => &[Member(Gone), Member(Dead), Member(Draining)],
+        Cause::Member(_, MemberCause::Silent) => &[Member(Silent), Member(Dead), Member(Slow)],
+        Cause::Member(_, MemberCause::Broke) => {
+            &[Member(Dead), Member(Gone), Member(Draining), Member(Silent)]
+        }
+        Cause::Member(_, MemberCause::Refused) => &[Member(Refusing), Member(Slow)],
+        Cause::Member(_, MemberCause::Slow | MemberCause::Relief) => &[Member(Slow), Member(Refusing)],
+        Cause::Member(_, MemberCause::Drained) => &[Member(Draining), Member(Gone)],
+        Cause::Member(_, MemberCause::Gone) => &[Member(Gone), Member(Dead), Member(Draining)],
     }
 }
 
-/// The parts of a span that no span before it covers.
+/// Parts of the span `from..until` that no span in `covered` overlaps.
 fn uncovered(covered: &[(f64, f64)], from: f64, until: f64) -> Vec<(f64, f64)> {
     let mut parts = vec![(from, until)];
     for (begin, end) in covered {
@@ -401,27 +422,30 @@
     format!("{:.1} s", ms / 1_000.0)
 }
 
+/// Describes what was observed in a member's span; `last` is the time of the last record.
 fn describe(name: &str, span: &Span, last: f64) -> String {
-    let long = match span.until {
+    let duration = match span.until {
         Some(until) => format!("for {}", seconds(until - span.from)),
         None => format!("for {} up to the end of the records", seconds(last - span.from)),
     };
-    let seen = span.evidence;
+    let evidence = span.evidence;
     match span.state {
         State::Silent => {
-            format!("member {name} was sent work and answered nothing, {long} (seen {seen} times)")
+            format!("member {name} was sent work and answered nothing, {duration} (seen {evidence} times)")
+        }
+        State::Dead => {
+            format!("member {name} broke off or could not be reached, {duration} (seen {evidence} times)")
         }
-        State::Dead => format!("member {name} broke off or could not be reached, {long} (seen {seen} times)"),
-        State::Refusing => format!("member {name} turned work away, {long} (seen {seen} times)"),
-        State::Slow => format!("messages at member {name} were late, {long} (told {seen} times)"),
-        State::Draining => format!("member {name} was draining, {long}"),
-        State::Gone => format!("member {name} was not listed, {long}"),
-        State::Cold => format!("member {name} had just started, {long}"),
-        State::Avoided => format!("member {name} was avoided, {long}"),
+        State::Refusing => format!("member {name} turned work away, {duration} (seen {evidence} times)"),
+        State::Slow => format!("messages at member {name} were late, {duration} (told {evidence} times)"),
+        State::Draining => format!("member {name} was draining, {duration}"),
+        State::Gone => format!("member {name} was not listed, {duration}"),
+        State::Cold => format!("member {name} had just started, {duration}"),
+        State::Avoided => format!("member {name} was avoided, {duration}"),
     }
 }
 
-/// Names with numbers in them are put in the order of the numbers.
+/// Compares names so that those with the same stem are ordered by the number at their end.
 pub fn in_order(a: &str, b: &str) -> std::cmp::Ordering {
     let key = |name: &str| {
         let digits = name.len() - name.trim_end_matches(|c: char| c.is_ascii_digit()).len();
--- a/crates/incident/src/board.rs
+++ b/crates/incident/src/board.rs
@@ -1,18 +1,18 @@
-//! How things stand at one moment: what a console shows. Fed the same steps as the analysis.
+//! Current state of a site, as the console shows it. Takes the same steps as the analysis.
 
 use crate::findings::State;
-use crate::member::Track;
+use crate::member::MemberHistory;
 use hopmoor_record::codec::Site;
 use hopmoor_record::merge::Step;
 use hopmoor_record::{Answer, Event, MemberId, NeighbourState, Origin, Outcome, Phase, Reason, Record};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Lines of events that are kept.
-const MOST_LINES: usize = 2_000;
-/// Outcomes at a member that are kept: two minutes of seconds.
-const SECONDS: usize = 120;
+/// Maximum number of event lines kept; older ones are dropped.
+const MAX_EVENT_LINES: usize = 2_000;
+/// Outcome counts kept for each member, one a second: two minutes.
+const HISTORY_SECONDS: usize = 120;
 
-/// How a second went at a member.
+/// Outcomes at a member within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Second {
     /// Attempts served.
@@ -21,82 +21,92 @@
     pub failed: u16,
 }
 
-/// A member as one node sees it.
+/// One node's latest view of a member.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Connections there.
+pub struct NodeView {
+    /// The node's connections at the member.
     pub open: u32,
-    /// Reported load, and when it was told.
+    /// Reported load as a part of capacity, and the time of the report.
     pub load: Option<(f32, f64)>,
-    /// How long a message takes there.
+    /// How long a message takes at the member.
     pub message_ms: Option<f32>,
-    /// Part of its listed weight in the round.
+    /// Part of the listed weight that the node uses for placement.
     pub weight: f32,
-    /// Part warmed up.
+    /// Part warmed up, from 0 to 1.
     pub warmth: f32,
-    /// Until when it is avoided.
+    /// Time until which the node sends the member nothing new because of failures.
     pub avoided_until: f64,
 }
 
-/// A member on the board.
+/// Current state of a member.
 #[derive(Clone, Debug, Default)]
 pub struct Row {
-    /// Its name.
+    /// Name of the member; empty until a record tells it.
     pub name: String,
-    /// As listed.
+    /// State in the member list; none until a record tells it.
     pub phase: Option<Phase>,
-    /// What is wrong with it.
-    pub track: Track,
-    /// As each node sees it.
-    pub seen: BTreeMap<Origin, Seen>,
-    /// How its last seconds went, the newest last.
+    /// Attempts, load and states observed so far.
+    pub history: MemberHistory,
+    /// Latest view of each node.
+    pub seen: BTreeMap<Origin, NodeView>,
+    /// Outcome counts of the last `HISTORY_SECONDS` seconds up to `newest_second`, the newest last.
     pub seconds: VecDeque<Second>,
-    second: f64,
+    /// Unix time in seconds of the newest entry of `seconds`.
+    newest_second: f64,
 }
 
 impl Row {
-    /// What it is called to be in, the gravest first.
+    /// State to show: that of the member list if it is draining or gone, else the most severe one observed.
     pub fn state(&self) -> &'static str {
-        let grave = [State::Dead, State::Silent, State::Refusing, State::Slow, State::Cold, State::Avoided];
+        let by_severity =
+            [State::Dead, State::Silent, State::Refusing, State::Slow, State::Cold, State::Avoided];
         match self.phase {
             Some(Phase::Gone) => "gone",
-            Some(Phase::Draining) if self.track.is(State::Silent) => "silent, draining",
+            Some(Phase::Draining) if self.history.is_in(State::Silent) => "silent, draining",
             Some(Phase::Draining) => "draining",
-            _ => grave.iter().find(|state| self.track.is(**state)).map_or("serving", |state| state.word()),
+            _ => by_severity
+                .iter()
+                .find(|state| self.history.is_in(**state))
+                .map_or("serving", |state| state.word()),
         }
     }
 
-    /// Connections of all nodes there.
+    /// Connections at the member, summed over the nodes.
     pub fn open(&self) -> u32 {
         self.seen.values().map(|seen| seen.open).sum()
     }
 
-    /// The newest report of its load, and its age.
+    /// Load in the newest report, and the report's age in milliseconds.
     pub fn load(&self, now: f64) -> Option<(f32, f64)> {
         let newest = self.seen.values().filter_map(|seen| seen.load).max_by(|a, b| a.1.total_cmp(&b.1));
         newest.map(|(load, at)| (load, (now - at).max(0.0)))
     }
 
-    /// Its last seconds up to now, the newest last.
-    pub fn recent(&self, now: f64, most: usize) -> Vec<Second> {
-        let since = ((now / 1_000.0).floor() - self.second).clamp(0.0, SECONDS as f64) as usize;
-        let since = if self.seconds.is_empty() { 0 } else { since };
-        let all = self.seconds.iter().copied().chain(std::iter::repeat_n(Second::default(), since));
-        let skip = (self.seconds.len() + since).saturating_sub(most);
+    /// Outcome counts of at most `count` seconds up to `now`, the newest last.
+    pub fn recent(&self, now: f64, count: usize) -> Vec<Second> {
+        let elapsed =
+            ((now / 1_000.0).floor() - self.newest_second).clamp(0.0, HISTORY_SECONDS as f64) as usize;
+        let elapsed = if self.seconds.is_empty() { 0 } else { elapsed };
+        let all = self.seconds.iter().copied().chain(std::iter::repeat_n(Second::default(), elapsed));
+        let skip = (self.seconds.len() + elapsed).saturating_sub(count);
         all.skip(skip).collect()
     }
 
-    fn second(&mut self, at: f64) -> &mut Second {
+    /// Outcome counts of the second of `at`, or of the newest second if `at` is earlier.
+    fn second_at(&mut self, at: f64) -> &mut Second {
         let second = (at / 1_000.0).floor();
-        let passed =
-            if self.seconds.is_empty() { 1.0 } else { (second - self.second).clamp(0.0, SECONDS as f64) };
-        for _ in 0..passed as usize {
+        let elapsed = if self.seconds.is_empty() {
+            1.0
+        } else {
+            (second - self.newest_second).clamp(0.0, HISTORY_SECONDS as f64)
+        };
+        for _ in 0..elapsed as usize {
             self.seconds.push_back(Second::default());
-            if self.seconds.len() > SECONDS {
+            if self.seconds.len() > HISTORY_SECONDS {
                 self.seconds.pop_front();
             }
         }
-        self.second = self.second.max(second);
+        self.newest_second = self.newest_second.max(second);
         if self.seconds.is_empty() {
             self.seconds.push_back(Second::default());
         }
@@ -105,70 +115,72 @@
     }
 }
 
-/// A tenant on the board, summed over the nodes.
+/// Demand, limits and use of a tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Share {
-    /// What it asked for.
+pub struct TenantUsage {
+    /// Load asked for in the last interval.
     pub demand: f32,
-    /// What it may have.
+    /// Load that the tenant may use.
     pub budget: f32,
-    /// Connections that it may have.
+    /// Maximum number of connections.
     pub limit: u32,
-    /// Connections that it has.
+    /// Open connections.
     pub open: u32,
-    /// What waits.
+    /// Transactions waiting in the queue.
     pub queued: u32,
 }
 
-/// A line among the events.
+/// A line in the list of events.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// When.
+    /// Time of the event.
     pub at: f64,
-    /// Whose.
+    /// Name of the node that recorded it.
     pub node: String,
-    /// Its kind, to filter by.
+    /// Kind of event, for filtering.
     pub kind: &'static str,
-    /// What.
+    /// Text shown.
     pub text: String,
-    /// Whether it is bad news.
+    /// Whether it reports a problem.
     pub bad: bool,
 }
 
-/// A node on the board.
+/// Current state of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Whether it runs, as far as its records tell.
+    /// Whether the node is running, according to its records.
     pub running: bool,
-    /// When it was last heard of.
-    pub heard: f64,
-    /// Its counters, by name.
+    /// Time of the last record.
+    pub last_record_at: f64,
+    /// Last values of the counters, by name.
     pub counters: BTreeMap<String, u64>,
-    names: Vec<String>,
+    counter_names: Vec<String>,
 }
 
-/// The board.
+/// Current state of a site: its nodes, members, tenants and latest events.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
-    /// The newest record's time.
+    /// Time of the newest step.
     pub now: f64,
-    /// Classes, tenants and zones.
+    /// Classes, tenants and zones, from the newest header.
     pub site: Site,
-    /// Nodes.
+    /// Nodes, in the order of their origins.
     pub nodes: Vec<Node>,
-    /// Members.
+    /// Members, by id.
     pub members: BTreeMap<MemberId, Row>,
     /// Events, oldest first.
     pub lines: VecDeque<Line>,
-    shares: BTreeMap<(u32, Origin), Share>,
-    aim_ms: f64,
-    served: VecDeque<(f64, f64, f64)>,
+    tenant_usage: BTreeMap<(u32, Origin), TenantUsage>,
+    /// The shortest message time target of all classes; infinite if no class has one.
+    message_target_ms: f64,
+    /// Time, served and unserved transactions (each 0 or 1) of recent answers.
+    recent_answers: VecDeque<(f64, f64, f64)>,
 }
 
 impl Board {
-    /// Takes one step.
+    /// Processes one step of the merged records.
     pub fn feed(&mut self, origin: Origin, at: f64, step: &Step) {
         if self.nodes.len() <= origin.0 {
             self.nodes.resize_with(origin.0 + 1, Node::default);
@@ -182,12 +194,12 @@
                 }
                 let node = &mut self.nodes[origin.0];
                 node.name.clone_from(&header.node);
-                node.names.clone_from(&header.counters);
-                (node.running, node.heard) = (true, at);
+                node.counter_names.clone_from(&header.counters);
+                (node.running, node.last_record_at) = (true, at);
                 self.site = header.site.clone();
-                let aims = self.site.classes.iter().map(|class| class.message_aim_ms);
-                self.aim_ms = aims.filter(|aim| *aim > 0.0).fold(f64::INFINITY, f64::min);
-                self.forget(origin, at);
+                let targets = self.site.classes.iter().map(|class| class.message_aim_ms);
+                self.message_target_ms = targets.filter(|target| *target > 0.0).fold(f64::INFINITY, f64::min);
+                self.run_ended(origin, at);
                 let text = format!("node {} runs, version {}", header.node, header.program);
                 self.line(origin, at, "node", text, false);
             }
@@ -206,34 +218,34 @@
         self.now = self.now.max(at);
     }
 
-    /// What a run of a node knew is void.
-    fn forget(&mut self, origin: Origin, at: f64) {
+    /// Drops the views and tenant figures of a node whose run is over.
+    fn run_ended(&mut self, origin: Origin, at: f64) {
         for row in self.members.values_mut() {
             row.seen.remove(&origin);
-            row.track.run_over(origin, at);
+            row.history.run_ended(origin, at);
         }
-        self.shares.retain(|(_, of), _| *of != origin);
+        self.tenant_usage.retain(|(_, node), _| *node != origin);
     }
 
     fn line(&mut self, origin: Origin, at: f64, kind: &'static str, text: String, bad: bool) {
         let node = self.nodes.get(origin.0).map_or_else(String::new, |node| node.name.clone());
         self.lines.push_back(Line { at, node, kind, text, bad });
-        if self.lines.len() > MOST_LINES {
+        if self.lines.len() > MAX_EVENT_LINES {
             self.lines.pop_front();
         }
     }
 
-    fn named(&self, member: MemberId) -> String {
+    fn member_name(&self, member: MemberId) -> String {
         match self.members.get(&member) {
             Some(row) if !row.name.is_empty() => row.name.clone(),
             _ => format!("{:016x}", member.0),
         }
     }
 
-    /// Tenants, each summed over the nodes.
-    pub fn tenants(&self) -> Vec<(String, Share)> {
-        let mut sums: BTreeMap<u32, Share> = BTreeMap::new();
-        for ((tenant, _), share) in &self.shares {
+    /// Names of the tenants and their figures, summed over the nodes.
+    pub fn tenants(&self) -> Vec<(String, TenantUsage)> {
+        let mut sums: BTreeMap<u32, TenantUsage> = BTreeMap::new();
+        for ((tenant, _), share) in &self.tenant_usage {
             let sum = sums.entry(*tenant).or_default();
             sum.demand += share.demand;
             sum.budget += share.budget;
@@ -241,34 +253,36 @@
             sum.open += share.open;
             sum.queued += share.queued;
         }
-        let name = |at: u32| self.site.tenants.get(at as usize).cloned().unwrap_or_else(|| at.to_string());
+        let name = |tenant: u32| {
+            self.site.tenants.get(tenant as usize).cloned().unwrap_or_else(|| tenant.to_string())
+        };
         sums.into_iter().map(|(tenant, share)| (name(tenant), share)).collect()
     }
 
-    /// Members in the order of their names.
+    /// Members, ordered by name.
     pub fn rows(&self) -> Vec<&Row> {
         let mut rows: Vec<&Row> = self.members.values().collect();
         rows.sort_by(|a, b| crate::analysis::in_order(&a.name, &b.name));
         rows
     }
 
-    /// Transactions served, rejected and failed, and clients moved, in the last ten seconds, a second.
+    /// Transactions served per second, and rejected or failed per second, over the last ten seconds.
     pub fn rates(&self) -> (f64, f64) {
-        let recent = self.served.iter().filter(|(at, _, _)| self.now - at < 10_000.0);
-        let (served, turned) = recent.fold((0.0, 0.0), |sum, (_, a, b)| (sum.0 + a, sum.1 + b));
-        (served / 10.0, turned / 10.0)
+        let recent = self.recent_answers.iter().filter(|(at, _, _)| self.now - at < 10_000.0);
+        let (served, unserved) = recent.fold((0.0, 0.0), |sum, (_, a, b)| (sum.0 + a, sum.1 + b));
+        (served / 10.0, unserved / 10.0)
     }
 
     fn record(&mut self, origin: Origin, record: &Record) {
         let at = record.at;
-        self.nodes[origin.0].heard = at;
+        self.nodes[origin.0].last_record_at = at;
         match &record.event {
             Event::Started(_) | Event::Asked(_) => {}
             Event::Stopped(stopped) => {
                 self.nodes[origin.0].running = false;
                 let text = format!("node ended; {} transactions left behind", stopped.left_behind);
                 self.line(origin, at, "node", text, stopped.left_behind > 0);
-                self.forget(origin, at);
+                self.run_ended(origin, at);
             }
             Event::Leaving(leaving) => {
                 let text = format!("node leaves; {} transactions open", leaving.transactions);
@@ -281,10 +295,10 @@
             Event::Member(member) => {
                 let row = self.members.entry(member.member).or_default();
                 row.name.clone_from(&member.name);
-                row.track.name.clone_from(&member.name);
+                row.history.name.clone_from(&member.name);
                 let changed = row.phase != Some(member.phase);
                 row.phase = Some(member.phase);
-                row.track.listed(origin, at, member.phase, member.born, member.again);
+                row.history.listed(origin, at, member.phase, member.born, member.again);
                 if changed && !member.again {
                     let phase = match member.phase {
                         Phase::Serving => "serving",
@@ -297,7 +311,7 @@
             }
             Event::View(view) => {
                 let row = self.members.entry(view.member).or_default();
-                row.track.viewed(origin, at, f64::from(view.warmth), view.avoided_ms > 0.0);
+                row.history.viewed(origin, at, f64::from(view.warmth), view.avoided_ms > 0.0);
                 let seen = row.seen.entry(origin).or_default();
                 seen.open = view.open;
                 seen.load = view.report.map(|(load, age)| (load, at - f64::from(age)));
@@ -306,57 +320,66 @@
                 seen.avoided_until = at + f64::from(view.avoided_ms);
             }
             Event::Probed(probed) => {
-                let aim = self.aim_ms;
+                let target_ms = self.message_target_ms;
                 let row = self.members.entry(probed.member).or_default();
-                row.track.probed(at, probed.outcome, probed.load.map(f64::from));
+                row.history.probe_ended(at, probed.outcome, probed.load.map(f64::from));
                 let seen = row.seen.entry(origin).or_default();
                 if let Some(load) = probed.load {
                     seen.load = Some((load, at));
                 }
                 if let Some(ms) = probed.message_ms {
                     seen.message_ms = Some(ms);
-                    row.track.message(at, f64::from(ms), aim);
+                    row.history.message_time(at, f64::from(ms), target_ms);
                 }
                 if !matches!(probed.outcome, Outcome::Ok | Outcome::NotSent) {
-                    let text = format!("probe of {}: {}", self.named(probed.member), word(probed.outcome));
+                    let text = format!(
+                        "probe of {}: {}",
+                        self.member_name(probed.member),
+                        outcome_text(probed.outcome)
+                    );
                     self.line(origin, at, "probe", text, true);
                 }
             }
             Event::Delay(delay) => {
-                let aim = self.aim_ms;
+                let target_ms = self.message_target_ms;
                 let row = self.members.entry(delay.member).or_default();
-                row.track.message(at, f64::from(delay.took_ms), aim);
+                row.history.message_time(at, f64::from(delay.took_ms), target_ms);
                 row.seen.entry(origin).or_default().message_ms = Some(delay.took_ms);
-                let late = f64::from(delay.took_ms) > aim;
-                let text = format!("messages at {} take {:.0} ms", self.named(delay.member), delay.took_ms);
+                let late = f64::from(delay.took_ms) > target_ms;
+                let text =
+                    format!("messages at {} take {:.0} ms", self.member_name(delay.member), delay.took_ms);
                 self.line(origin, at, "delay", text, late);
             }
             Event::Flow(flow) => {
                 let row = self.members.entry(flow.member).or_default();
-                row.track.flow(at, flow.outcome, flow.stood, f64::from(flow.took_ms));
+                row.history.flow_ended(at, flow.outcome, flow.stood, f64::from(flow.took_ms));
                 if matches!(flow.outcome, Outcome::Ok | Outcome::Cancelled | Outcome::NotSent) {
                     return;
                 }
-                let second = row.second(at);
+                let second = row.second_at(at);
                 second.failed = second.failed.saturating_add(1);
                 let what = if flow.stood { "connection" } else { "attempt" };
-                let member = self.named(flow.member);
-                let text = format!("{what} at {member}: {} after {:.0} ms", word(flow.outcome), flow.took_ms);
+                let member = self.member_name(flow.member);
+                let text = format!(
+                    "{what} at {member}: {} after {:.0} ms",
+                    outcome_text(flow.outcome),
+                    flow.took_ms
+                );
                 self.line(origin, at, "flow", text, true);
             }
             Event::Answered(answered) => {
                 let class = self.site.classes.get(answered.class as usize);
                 let class = class.map_or_else(|| answered.class.to_string(), |class| class.name.clone());
                 let waited = answered.waited_ms;
-                let turned = match answered.answer {
+                let unserved = match answered.answer {
                     Answer::Served => {
                         if let Some(member) = answered.member {
                             let row = self.members.entry(member).or_default();
-                            row.track.served(at);
-                            let second = row.second(at);
+                            row.history.served(at);
+                            let second = row.second_at(at);
                             second.served = second.served.saturating_add(1);
                         }
-                        self.tally(at, 1.0, 0.0);
+                        self.count_answer(at, 1.0, 0.0);
                         return;
                     }
                     Answer::Left => return,
@@ -365,8 +388,8 @@
                     }
                     Answer::Failed(why) => format!("failed after {waited:.0} ms: {why:?}"),
                 };
-                self.tally(at, 0.0, 1.0);
-                self.line(origin, at, "answer", format!("{class} {turned}"), true);
+                self.count_answer(at, 0.0, 1.0);
+                self.line(origin, at, "answer", format!("{class} {unserved}"), true);
             }
             Event::Moved(moved) => {
                 let why = match moved.reason {
@@ -377,48 +400,50 @@
                     Reason::Member => "by the member itself",
                     Reason::Negotiation => "before it stood",
                 };
-                let text = format!("client moved from {}: {why}", self.named(moved.member));
+                let text = format!("client moved from {}: {why}", self.member_name(moved.member));
                 self.line(origin, at, "move", text, false);
             }
             Event::Tenant(tenant) => {
-                let share = Share {
+                let share = TenantUsage {
                     demand: tenant.demand,
                     budget: tenant.budget,
                     limit: tenant.limit,
                     open: tenant.open,
                     queued: tenant.queued,
                 };
-                self.shares.insert((tenant.tenant, origin), share);
+                self.tenant_usage.insert((tenant.tenant, origin), share);
             }
             Event::Counters(counters) => {
                 let node = &mut self.nodes[origin.0];
-                node.counters = node.names.iter().cloned().zip(counters.values.iter().copied()).collect();
+                node.counters =
+                    node.counter_names.iter().cloned().zip(counters.values.iter().copied()).collect();
             }
             Event::Gap(gap) => self.line(origin, at, "doubt", format!("{} records lost", gap.lost), true),
             Event::Fault(fault) => self.line(origin, at, "fault", fault.what.clone(), true),
             Event::Neighbour(neighbour) => {
-                let (held, bad) = match neighbour.state {
+                let (state, bad) = match neighbour.state {
                     NeighbourState::Alive => ("is there", false),
                     NeighbourState::Dead => ("is held dead", true),
                     NeighbourState::Left => ("has left", false),
                 };
-                self.line(origin, at, "fleet", format!("node {} {held}", neighbour.name), bad);
+                self.line(origin, at, "fleet", format!("node {} {state}", neighbour.name), bad);
             }
             Event::Blind(_) => self.line(origin, at, "node", "discovery could not be asked".into(), true),
         }
     }
 
-    fn tally(&mut self, at: f64, served: f64, turned: f64) {
-        self.served.push_back((at, served, turned));
-        while self.served.front().is_some_and(|(then, _, _)| at - then > 10_000.0)
-            || self.served.len() > 200_000
+    /// Adds an answer to the rates, and drops those older than ten seconds or beyond 200,000.
+    fn count_answer(&mut self, at: f64, served: f64, unserved: f64) {
+        self.recent_answers.push_back((at, served, unserved));
+        while self.recent_answers.front().is_some_and(|(then, _, _)| at - then > 10_000.0)
+            || self.recent_answers.len() > 200_000
         {
-            self.served.pop_front();
+            self.recent_answers.pop_front();
         }
     }
 }
 
-fn word(outcome: Outcome) -> &'static str {
+fn outcome_text(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ended in good order",
         Outcome::Error => "an error",
--- a/crates/incident/src/curve.rs
+++ b/crates/incident/src/curve.rs
@@ -1,101 +1,103 @@
-//! Figures over time in steps. A curve that grows too long doubles its step, so memory stays within bounds however
-//! long the records are.
+//! Time series with a fixed maximum number of steps. When the records outgrow it, the length of a step
+//! doubles, so memory stays bounded for records of any length.
 
-/// Most steps that are kept.
-pub const MOST: usize = 4_096;
+/// Maximum number of steps in a time series.
+pub const MAX_STEPS: usize = 4_096;
 
-/// The steps that all curves share.
+/// Time scale shared by all time series: start and step length.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scale {
-    /// When the first step begins.
+    /// Start of the first step, in Unix milliseconds.
     pub from: f64,
-    /// A step's length in milliseconds.
-    pub step: f64,
+    /// Length of a step in milliseconds.
+    pub step_ms: f64,
 }
 
 impl Scale {
-    /// A scale that begins with steps of so many milliseconds.
-    pub fn new(from: f64, step: f64) -> Self {
-        Scale { from, step }
+    /// A scale that starts at `from` with steps of `step_ms`.
+    pub fn new(from: f64, step_ms: f64) -> Self {
+        Scale { from, step_ms }
     }
 
-    fn place(&self, at: f64) -> usize {
-        ((at - self.from) / self.step).max(0.0) as usize
+    /// Index of the step that holds `at`; times before the start fall into the first.
+    fn index(&self, at: f64) -> usize {
+        ((at - self.from) / self.step_ms).max(0.0) as usize
     }
 
-    /// Doubles the step until `at` fits; says how often.
-    pub fn reach(&mut self, at: f64) -> u32 {
+    /// Doubles the step length until `at` fits into [`MAX_STEPS`] steps. Returns how often it was doubled;
+    /// every time series on this scale has to be doubled as often.
+    pub fn extend_to(&mut self, at: f64) -> u32 {
         let mut doubled = 0;
-        while at.is_finite() && self.place(at) >= MOST {
-            self.step *= 2.0;
+        while at.is_finite() && self.index(at) >= MAX_STEPS {
+            self.step_ms *= 2.0;
             doubled += 1;
         }
         doubled
     }
 }
 
-/// Values over time.
+/// Sums per step of a [`Scale`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Curve {
+pub struct TimeSeries {
     values: Vec<f32>,
 }
 
-impl Curve {
-    /// Two steps become one, so many times.
-    pub fn double(&mut self, times: u32) {
+impl TimeSeries {
+    /// Merges each pair of steps into one, `times` times.
+    pub fn double_steps(&mut self, times: u32) {
         for _ in 0..times {
             self.values = self.values.chunks(2).map(|pair| pair.iter().sum()).collect();
         }
     }
 
-    /// Counts something at a time.
-    pub fn count(&mut self, scale: &Scale, at: f64, amount: f64) {
-        let place = scale.place(at).min(MOST - 1);
-        if self.values.len() <= place {
-            self.values.resize(place + 1, 0.0);
+    /// Adds `amount` to the step of `at`.
+    pub fn add(&mut self, scale: &Scale, at: f64, amount: f64) {
+        let index = scale.index(at).min(MAX_STEPS - 1);
+        if self.values.len() <= index {
+            self.values.resize(index + 1, 0.0);
         }
-        self.values[place] += amount as f32;
+        self.values[index] += amount as f32;
     }
 
-    /// Spreads something that goes on at `rate` a millisecond.
-    pub fn spread(&mut self, scale: &Scale, from: f64, until: f64, rate: f64) {
+    /// Adds `rate` per millisecond over the span, split across its steps.
+    pub fn add_rate(&mut self, scale: &Scale, from: f64, until: f64, rate: f64) {
         if rate == 0.0 || until <= from {
             return;
         }
         let mut at = from.max(scale.from);
         while at < until {
-            let end = (scale.from + (scale.place(at) + 1) as f64 * scale.step).min(until);
-            // Guards against a step too short for the clock's resolution.
+            let end = (scale.from + (scale.index(at) + 1) as f64 * scale.step_ms).min(until);
+            // Prevents an endless loop where a step is too short for the resolution of `at`.
             if end <= at {
                 break;
             }
-            self.count(scale, at, rate * (end - at));
+            self.add(scale, at, rate * (end - at));
             at = end;
         }
     }
 
-    /// What lies between two times; a step counts by the part of it that is asked for.
-    pub fn between(&self, scale: &Scale, from: f64, until: f64) -> f64 {
+    /// Sum over the span. A step that lies partly in the span counts in proportion.
+    pub fn sum_between(&self, scale: &Scale, from: f64, until: f64) -> f64 {
         if until <= from {
             return 0.0;
         }
-        let (first, last) = (scale.place(from), scale.place(until));
+        let (first, last) = (scale.index(from), scale.index(until));
         let mut sum = 0.0;
-        for (place, value) in self.values.iter().enumerate().take(last + 1).skip(first) {
-            let begins = scale.from + place as f64 * scale.step;
-            let part = (until.min(begins + scale.step) - from.max(begins)) / scale.step;
+        for (index, value) in self.values.iter().enumerate().take(last + 1).skip(first) {
+            let begins = scale.from + index as f64 * scale.step_ms;
+            let part = (until.min(begins + scale.step_ms) - from.max(begins)) / scale.step_ms;
             sum += f64::from(*value) * part.clamp(0.0, 1.0);
         }
         sum
     }
 
-    /// The values, `steps` of them, each multiplied.
-    pub fn values(&self, steps: usize, by: f64) -> Vec<f32> {
-        let value = |place| (f64::from(self.values.get(place).copied().unwrap_or(0.0)) * by) as f32;
+    /// The first `steps` values, each multiplied by `factor`; zero where there are none.
+    pub fn values(&self, steps: usize, factor: f64) -> Vec<f32> {
+        let value = |index| (f64::from(self.values.get(index).copied().unwrap_or(0.0)) * factor) as f32;
         (0..steps).map(value).collect()
     }
 
-    /// The sum of all.
+    /// Sum over all steps.
     pub fn sum(&self) -> f64 {
         self.values.iter().map(|value| f64::from(*value)).sum()
     }
--- a/crates/incident/src/curve/tests.rs
+++ b/crates/incident/src/curve/tests.rs
@@ -1,28 +1,28 @@
 use super::*;
 
 #[test]
-fn what_is_spread_is_found_again_also_after_doubling() {
+fn sums_stay_the_same_when_the_step_doubles() {
     let mut scale = Scale::new(1_000.0, 100.0);
-    let mut curve = Curve::default();
-    curve.spread(&scale, 1_050.0, 1_950.0, 2.0);
+    let mut curve = TimeSeries::default();
+    curve.add_rate(&scale, 1_050.0, 1_950.0, 2.0);
     assert!((curve.sum() - 1_800.0).abs() < 1.0);
-    assert!((curve.between(&scale, 1_100.0, 1_200.0) - 200.0).abs() < 0.1);
-    assert!((curve.between(&scale, 1_100.0, 1_250.0) - 300.0).abs() < 0.1);
-    let doubled = scale.reach(1_000.0 + 100.0 * 5_000.0);
-    curve.double(doubled);
-    assert_eq!((doubled, scale.step), (1, 200.0));
+    assert!((curve.sum_between(&scale, 1_100.0, 1_200.0) - 200.0).abs() < 0.1);
+    assert!((curve.sum_between(&scale, 1_100.0, 1_250.0) - 300.0).abs() < 0.1);
+    let doubled = scale.extend_to(1_000.0 + 100.0 * 5_000.0);
+    curve.double_steps(doubled);
+    assert_eq!((doubled, scale.step_ms), (1, 200.0));
     assert!((curve.sum() - 1_800.0).abs() < 1.0);
-    assert!((curve.between(&scale, 1_200.0, 1_400.0) - 400.0).abs() < 0.1);
+    assert!((curve.sum_between(&scale, 1_200.0, 1_400.0) - 400.0).abs() < 0.1);
 }
 
 #[test]
-fn memory_is_bounded_whatever_the_time() {
+fn memory_is_bounded_for_any_time() {
     let mut scale = Scale::new(0.0, 1.0);
-    let mut curve = Curve::default();
+    let mut curve = TimeSeries::default();
     for at in [5.0, 1e6, 1e9, 1e15] {
-        let doubled = scale.reach(at);
-        curve.double(doubled);
-        curve.count(&scale, at, 1.0);
+        let doubled = scale.extend_to(at);
+        curve.double_steps(doubled);
+        curve.add(&scale, at, 1.0);
     }
-    assert!(curve.values.len() <= MOST && curve.sum() == 4.0);
+    assert!(curve.values.len() <= MAX_STEPS && curve.sum() == 4.0);
 }
--- a/crates/incident/src/findings.rs
+++ b/crates/incident/src/findings.rs
@@ -1,72 +1,74 @@
-//! What is found: plain values, also as JSON.
+//! Findings of the analysis as plain values that serialise to JSON.
 
 use serde::Serialize;
 
-/// Everything found in the records of a site. Times are Unix milliseconds; lost service is in worth-seconds, and in
-/// parts of all that was asked for.
+/// Findings from the records of a site.
+///
+/// Times are Unix milliseconds. Service is in worth-seconds: seconds in which a client wanted a connection,
+/// weighted by the worth of its class. Shares are parts of all service asked for.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Findings {
-    /// The first record's time.
+    /// Time of the first record.
     pub from: f64,
-    /// The last record's time.
+    /// Time of the last record.
     pub until: f64,
-    /// Records read.
+    /// Number of records read.
     pub records: u64,
-    /// Totals.
+    /// Service asked for, served and lost in total.
     pub service: Service,
-    /// What the clients of each class asked and got.
+    /// Transactions and service of each class.
     pub classes: Vec<Account>,
-    /// What the clients of each tenant asked and got.
+    /// Transactions and service of each tenant.
     pub tenants: Vec<Account>,
-    /// Budgets, limits and use of each tenant over time, summed over the nodes.
-    pub budgets: Vec<Budget>,
-    /// The nodes, in the order in which their records were given.
+    /// Budget and use of each tenant over time, summed over the nodes.
+    pub budgets: Vec<TenantSeries>,
+    /// Nodes, in the order in which their records were given.
     pub nodes: Vec<Node>,
-    /// Members, by name.
+    /// Members, ordered by name.
     pub members: Vec<Member>,
-    /// What went wrong, in the order of its beginning.
+    /// Incidents, ordered by their start.
     pub incidents: Vec<Incident>,
-    /// Figures over time.
-    pub curves: Curves,
-    /// What could not be read, or was read with doubt.
-    pub doubts: Vec<Doubt>,
+    /// Time series of the whole site.
+    pub curves: SiteSeries,
+    /// Records that could not be read or are not reliable, and faults that nodes reported of themselves.
+    pub doubts: Vec<DataIssue>,
 }
 
-/// Service asked for, given and lost, in worth-seconds.
+/// Service asked for, served and lost, in worth-seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Service {
-    /// Worth of the seconds asked for.
+    /// Worth-seconds in which clients wanted a connection.
     pub asked: f64,
-    /// Worth of those served in time.
+    /// Worth-seconds in which clients were connected to a member that was neither silent nor slow.
     pub served: f64,
-    /// Worth of those lost.
+    /// Worth-seconds lost.
     pub lost: f64,
-    /// Lost over asked.
+    /// Lost as a part of asked.
     pub share_lost: f64,
-    /// The part of the lost share that no incident explains.
+    /// The part of `share_lost` that no incident explains.
     pub unexplained: f64,
 }
 
-/// What a class or a tenant asked and got.
+/// Transactions and service of a class or tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Account {
-    /// Its name.
+    /// Name of the class or tenant.
     pub name: String,
-    /// Transactions.
+    /// Transactions that arrived.
     pub transactions: u64,
-    /// Of which served.
+    /// Transactions served.
     pub served: u64,
-    /// Rejected.
+    /// Transactions rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Transactions that failed.
     pub failed: u64,
-    /// Left before their answer.
+    /// Transactions whose client left before the answer.
     pub left: u64,
-    /// Connections moved.
+    /// Clients told to move.
     pub moved: u64,
     /// Connections that broke.
     pub broken: u64,
-    /// Mean wait for the answer of those served.
+    /// Mean wait for the answer, over the transactions served.
     pub wait_ms: f64,
     /// Worth-seconds asked for.
     pub asked: f64,
@@ -74,46 +76,46 @@
     pub lost: f64,
 }
 
-/// A tenant's figures over time, one value a step of [`Curves::step_ms`].
+/// Budget and use of a tenant over time, one mean value for each step of [`SiteSeries::step_ms`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Budget {
-    /// Its name.
+pub struct TenantSeries {
+    /// Name of the tenant.
     pub name: String,
-    /// What it may have.
+    /// Load that the tenant may use.
     pub budget: Vec<f32>,
-    /// What it has.
+    /// Open connections.
     pub open: Vec<f32>,
-    /// What waits.
+    /// Transactions waiting in the queue.
     pub queued: Vec<f32>,
 }
 
-/// A node's runs.
+/// Runs and totals of a node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// From when to when it ran, and how each run ended.
+    /// Runs, oldest first.
     pub runs: Vec<Run>,
-    /// Spans from which records were lost.
+    /// Periods from which records were lost.
     pub gaps: Vec<Gap>,
-    /// Transactions.
+    /// Transactions that arrived.
     pub transactions: u64,
-    /// Of which rejected or failed.
+    /// Transactions rejected or failed.
     pub turned_away: u64,
-    /// Clients moved.
+    /// Clients told to move.
     pub moved: u64,
 }
 
-/// One run of a node.
+/// One run of a node, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Run {
-    /// Its first record.
+    /// Time of the first record.
     pub from: f64,
-    /// Its last record.
+    /// Time of the last record.
     pub until: f64,
-    /// How its records end.
+    /// How the records of the run end.
     pub end: RunEnd,
-    /// When it was told to end.
+    /// Time at which the node was told to shut down.
     pub leaving: Option<f64>,
 }
 
@@ -121,83 +123,84 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEnd {
-    /// The node ended in good order.
+    /// The node shut down in good order.
     Stopped,
-    /// Records end without a word, and a later run of the node follows.
+    /// The records end without a shutdown, and a later run of the node follows.
     Cut,
-    /// Records end here, without a word: what came after is not known.
+    /// The records end without a shutdown and no later run follows: what came after is not known.
     RecordsEnd,
 }
 
-/// Records that were lost.
+/// A period from which records were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Gap {
-    /// When the first was.
+    /// Time of the first lost record.
     pub from: f64,
-    /// When they went on.
+    /// Time at which the records go on.
     pub until: f64,
-    /// How many.
+    /// Number of records lost.
     pub lost: u64,
 }
 
-/// A member over time.
+/// States, attempts and service of a member over time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its zone's name.
+    /// Name of its zone; empty if the zone is not configured.
     pub zone: String,
-    /// Its states: they may overlap.
+    /// Periods in which the member was in a state; they may overlap.
     pub spans: Vec<Span>,
-    /// Attempts sent there.
+    /// Attempts sent to the member that have ended.
     pub attempts: u64,
-    /// Of which answered with service.
+    /// Attempts served.
     pub served: u64,
-    /// Mean and greatest load over capacity that it reported.
+    /// Mean and maximum of the reported load, as a part of capacity.
     pub load: Option<(f64, f64)>,
-    /// Worth-seconds lost there.
+    /// Worth-seconds lost because of the member.
     pub lost: f64,
-    /// Worth standing there over time, one value a step of [`Curves::step_ms`].
+    /// Worth of the clients connected to the member over time, one value for each step of
+    /// [`SiteSeries::step_ms`].
     pub standing: Vec<f32>,
 }
 
-/// A state of a member, from when to when.
+/// A period in which a member was in a state.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Span {
-    /// What.
+    /// State that the member was in.
     pub state: State,
-    /// From when.
+    /// Start of the period.
     pub from: f64,
-    /// Until when; none if it had not ended when the records did.
+    /// End of the period; none if it lasts beyond the records.
     pub until: Option<f64>,
-    /// What it was seen by.
+    /// Number of observations that show the state.
     pub evidence: u64,
 }
 
-/// What can be the matter with a member.
+/// Observed state of a member other than normal service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It was sent work and answered nothing.
+    /// The member was sent attempts or probes and answered none.
     Silent,
-    /// Its process ended: connections there broke at once, or none can be made.
+    /// The member's process ended: several connections broke at about the same time, or none can be made.
     Dead,
-    /// It turned work away, or answered with errors.
+    /// The member turned attempts away or answered with errors.
     Refusing,
-    /// Messages there took longer than a class wants.
+    /// Messages at the member took longer than the message time target of a class.
     Slow,
-    /// It is listed as draining.
+    /// The member is listed as draining.
     Draining,
-    /// It is listed no more.
+    /// The member is no longer listed.
     Gone,
-    /// It has started and is not warm yet.
+    /// The member has started recently and is not warmed up yet.
     Cold,
-    /// A node sends it nothing new for its failures.
+    /// A node sends the member nothing new because of failures.
     Avoided,
 }
 
 impl State {
-    /// A word for it.
+    /// Name of the state in reports.
     pub fn word(self) -> &'static str {
         match self {
             State::Silent => "silent",
@@ -211,32 +214,32 @@
         }
     }
 
-    /// Whether it is a trouble, or the ordinary course of things.
+    /// Whether the state is a fault rather than part of normal operation.
     pub fn is_trouble(self) -> bool {
         matches!(self, State::Silent | State::Dead | State::Refusing | State::Slow)
     }
 }
 
-/// Something that went on for a time and cost service, or may have.
+/// A period in which something cost service or may have.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Incident {
-    /// Its place in the list, from 1 on.
+    /// Number in the list, from 1 on.
     pub number: usize,
-    /// What.
+    /// Kind of incident.
     pub kind: IncidentKind,
-    /// Which member, node or tenant; empty for the site.
+    /// Name of the member or node concerned; empty for the whole site.
     pub subject: String,
-    /// From when.
+    /// Start of the incident.
     pub from: f64,
-    /// Until when; none if it had not ended when the records did.
+    /// End of the incident; none if it lasts beyond the records.
     pub until: Option<f64>,
-    /// One line that says what was seen.
+    /// One line that describes what was observed.
     pub cause: String,
-    /// Worth-seconds lost by it.
+    /// Worth-seconds lost because of it.
     pub lost: f64,
-    /// Part of all worth-seconds asked for.
+    /// The loss as a part of all worth-seconds asked for.
     pub share: f64,
-    /// The same by class, as in [`Findings::classes`].
+    /// Worth-seconds lost in each class, in the order of [`Findings::classes`].
     pub by_class: Vec<f64>,
 }
 
@@ -244,24 +247,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind", content = "state")]
 pub enum IncidentKind {
-    /// Something about a member.
+    /// A member was in this state.
     Member(State),
-    /// A node was told to end.
+    /// A node was told to shut down.
     NodeLeft,
-    /// A node's records end without a word.
+    /// A node's records end without a shutdown.
     NodeCut,
     /// Records of a node were lost.
     RecordsLost,
-    /// Transactions were turned away, or served late, for want of room.
+    /// Transactions were rejected, failed or served late for lack of capacity.
     NoRoom,
-    /// A node could not ask discovery.
+    /// A node's calls to discovery failed.
     Blind,
-    /// A node was held dead by others of its fleet.
+    /// A node was held dead by other nodes of its fleet.
     HeldDead,
 }
 
 impl IncidentKind {
-    /// A word or two for it.
+    /// Name of the kind in reports.
     pub fn word(self) -> &'static str {
         match self {
             IncidentKind::Member(state) => state.word(),
@@ -275,30 +278,30 @@
     }
 }
 
-/// Figures over time, one value a step.
+/// Time series of the whole site, one value for each step.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Curves {
-    /// A step's length.
+pub struct SiteSeries {
+    /// Length of a step.
     pub step_ms: f64,
-    /// Worth asked for, a second.
+    /// Worth-seconds asked for, per second.
     pub asked: Vec<f32>,
-    /// Worth served in time, a second.
+    /// Worth-seconds served, per second.
     pub served: Vec<f32>,
-    /// Transactions that arrived, in the step.
+    /// Transactions that arrived in the step.
     pub arrivals: Vec<f32>,
-    /// Rejected or failed, by class, in the step.
+    /// Transactions of each class that were rejected or failed in the step.
     pub turned_away: Vec<Vec<f32>>,
-    /// Clients moved, in the step.
+    /// Clients told to move in the step.
     pub moved: Vec<f32>,
 }
 
-/// Something that could not be read, or was read with doubt.
+/// An issue with a node's records, or a fault that the node reported of itself.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Doubt {
-    /// At what time the folder's records stood.
+pub struct DataIssue {
+    /// Time that the records had reached.
     pub at: f64,
-    /// Whose records.
+    /// Name of the node whose records they are; empty for a remark on the list itself.
     pub node: String,
-    /// What.
+    /// Description of the issue.
     pub what: String,
 }
--- a/crates/incident/src/fleet.rs
+++ b/crates/incident/src/fleet.rs
@@ -1,48 +1,52 @@
-//! Nodes that others held dead: from when until when, and by whom.
+//! Periods in which a node was held dead by other nodes of its fleet.
 
 use crate::{Incident, IncidentKind};
 use hopmoor_record::{Neighbour, NeighbourState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Spans kept, at most: a link that flaps for days must not fill memory. Those on top are counted.
-const MOST: usize = 1_000;
+/// Maximum number of spans kept over all nodes, so that a link that flaps for days does not fill memory.
+/// Further ones are only counted.
+const MAX_SPANS: usize = 1_000;
 
 #[derive(Clone, Debug)]
-struct Span {
+struct DeadSpan {
     from: f64,
     until: Option<f64>,
-    by: BTreeSet<String>,
-    /// Who holds it dead still.
-    holds: BTreeSet<String>,
+    /// Nodes that held it dead at any time in the span.
+    held_by: BTreeSet<String>,
+    /// Nodes that still hold it dead.
+    still_held_by: BTreeSet<String>,
 }
 
-/// What nodes recorded of each other.
+/// Periods in which nodes were held dead, by the name of the node.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Neighbours {
-    spans: BTreeMap<String, Vec<Span>>,
-    kept: usize,
-    more: u64,
+pub(crate) struct PeerDeaths {
+    spans: BTreeMap<String, Vec<DeadSpan>>,
+    span_count: usize,
+    unlisted: u64,
 }
 
-impl Neighbours {
-    /// Takes what a node recorded of another.
-    pub(crate) fn take(&mut self, by: &str, at: f64, neighbour: &Neighbour) {
+impl PeerDeaths {
+    /// Processes a state of `neighbour` as recorded by the node `observer`.
+    ///
+    /// A span lasts until no node holds the neighbour dead any more.
+    pub(crate) fn record(&mut self, observer: &str, at: f64, neighbour: &Neighbour) {
         let spans = self.spans.entry(neighbour.name.clone()).or_default();
         let open = spans.last_mut().filter(|span| span.until.is_none());
         match (neighbour.state, open) {
             (NeighbourState::Dead, Some(span)) => {
-                span.by.insert(by.to_owned());
-                span.holds.insert(by.to_owned());
+                span.held_by.insert(observer.to_owned());
+                span.still_held_by.insert(observer.to_owned());
             }
-            (NeighbourState::Dead, None) if self.kept < MOST => {
-                self.kept += 1;
-                let by = BTreeSet::from([by.to_owned()]);
-                spans.push(Span { from: at, until: None, holds: by.clone(), by });
+            (NeighbourState::Dead, None) if self.span_count < MAX_SPANS => {
+                self.span_count += 1;
+                let held_by = BTreeSet::from([observer.to_owned()]);
+                spans.push(DeadSpan { from: at, until: None, still_held_by: held_by.clone(), held_by });
             }
-            (NeighbourState::Dead, None) => self.more += 1,
+            (NeighbourState::Dead, None) => self.unlisted += 1,
             (_, Some(span)) => {
-                span.holds.remove(by);
-                if span.holds.is_empty() {
+                span.still_held_by.remove(observer);
+                if span.still_held_by.is_empty() {
                     span.until = Some(at);
                 }
             }
@@ -50,12 +54,13 @@
         }
     }
 
-    /// The spans, as incidents without losses: what they cost shows in the clients' own.
+    /// The spans as incidents. They carry no losses: lost service is attributed by what happened to the
+    /// clients.
     pub(crate) fn incidents(&self) -> impl Iterator<Item = Incident> {
         self.spans.iter().flat_map(|(name, spans)| {
             spans.iter().map(move |span| {
-                let by: Vec<&str> = span.by.iter().map(String::as_str).collect();
-                let cause = format!("node {name} was held dead by {}", by.join(", "));
+                let held_by: Vec<&str> = span.held_by.iter().map(String::as_str).collect();
+                let cause = format!("node {name} was held dead by {}", held_by.join(", "));
                 Incident {
                     number: 0,
                     kind: IncidentKind::HeldDead,
@@ -71,9 +76,9 @@
         })
     }
 
-    /// Spans for which there was no room.
-    pub(crate) fn more(&self) -> u64 {
-        self.more
+    /// Number of spans that were not kept because of [`MAX_SPANS`].
+    pub(crate) fn unlisted(&self) -> u64 {
+        self.unlisted
     }
 }
 
--- a/crates/incident/src/lib.rs
+++ b/crates/incident/src/lib.rs
@@ -1,14 +1,15 @@
 //! What went wrong at a site, when, and what it cost, from the records of its nodes.
 //!
-//! Nothing here reads or writes: records go in as [`hopmoor_record::merge::Step`]s in the order of their times, and
-//! [`Findings`] come out. `docs/records.md` defines the words used, above all the share of service lost.
+//! The crate does no I/O: it takes [`hopmoor_record::merge::Step`]s in time order and returns [`Findings`].
+//! `docs/records.md` defines the terms, above all the share of service lost.
 //!
-//! - [`member`]: what is wrong with a member, from what nodes saw of it.
-//! - [`wants`]: who wanted a connection when, and who had one: the share of service lost.
-//! - [`curve`]: figures over time, at a resolution that stays within bounds.
-//! - `fleet`: nodes that others held dead.
-//! - [`board`]: how things stand at one moment, for a console.
-//! - [`analysis`]: all of them fed together, and the findings drawn up.
+//! - [`member`]: states of a member, inferred from what the nodes observed.
+//! - [`wants`]: accounts for the time in which clients wanted a connection, and for the part of it that was
+//!   lost.
+//! - [`curve`]: time series with bounded memory.
+//! - `fleet`: periods in which a node was held dead by other nodes.
+//! - [`board`]: current state of a site, for the console.
+//! - [`analysis`]: reads all records and builds the findings.
 
 pub mod analysis;
 pub mod board;
--- a/crates/incident/src/member.rs
+++ b/crates/incident/src/member.rs
@@ -1,45 +1,50 @@
-//! What is the matter with a member, from what the nodes saw of it.
+//! States of a member, inferred from what the nodes observed.
 //!
-//! Each state has its own evidence, so that troubles that overlap on one member are told apart:
+//! Each state has its own evidence, so that states that overlap on one member are kept apart:
 //!
-//! - *silent*: two attempts, probes or standing connections without an answer, and no answer between them. It begins
-//!   when the first of them was sent, or at the last answer if that came later, and ends with the next answer.
-//! - *dead*: two connections that broke, or two that could not be made, within a second and nothing between them,
-//!   while the member is listed as serving.
-//! - *refusing*: three attempts turned away or answered with errors within 10 s, and none served between them. It ends
-//!   half-way between the last of them and the next that is served.
-//! - *slow*: two words in a row that messages take longer than the class in the greatest hurry wants.
-//! - *draining*, *gone*: as listed; the first node to say so counts.
-//! - *cold*: from its start until a node holds it for warm.
-//! - *avoided*: while a node sends it nothing new for its failures.
+//! - *silent*: two attempts, probes or established connections timed out with no answer between them. Starts
+//!   when the first of them was sent, or at the last answer if that came later, and ends with the next
+//!   answer.
+//! - *dead*: two connections broke or could not be made, at most a second apart and with no answer between
+//!   them, while the member was listed as serving.
+//! - *refusing*: three attempts were turned away or answered with errors, at most 10 s apart and none served
+//!   between them. Ends half-way between the last refusal and the next attempt that is served.
+//! - *slow*: two message times in a row exceeded the shortest message time target of all classes.
+//! - *draining*, *gone*: the member list says so; the first node to record it counts.
+//! - *cold*: from the start of the member's process until a node considers it warm.
+//! - *avoided*: while any node sends it nothing new because of failures.
 
 use crate::findings::{Span, State};
 use hopmoor_record::{Origin, Outcome, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A probe without an answer was sent about so long before.
-const PROBE_MS: f64 = 1_000.0;
-/// A connection without an answer was mute for so long.
-const MUTE_MS: f64 = 4_500.0;
-const BROKE_WITHIN_MS: f64 = 1_000.0;
-const REFUSED_WITHIN_MS: f64 = 10_000.0;
-/// A start told of later than this is not believed to the second.
-const FRESH_MS: f64 = 60_000.0;
-/// Most spans of a member that are kept; later ones only lengthen the last of their state.
-const MOST_SPANS: usize = 10_000;
+/// Approximate time between sending a probe and recording that it timed out.
+const PROBE_TIMEOUT_MS: f64 = 1_000.0;
+/// How long an established connection is silent before it counts as timed out.
+const SILENCE_DETECTION_MS: f64 = 4_500.0;
+/// Broken connections further apart than this are unrelated.
+const BROKEN_WINDOW_MS: f64 = 1_000.0;
+/// Refused attempts further apart than this are unrelated.
+const REFUSED_WINDOW_MS: f64 = 10_000.0;
+/// A recorded start time is used only if it is less than this away from the record; otherwise the record's
+/// own time is.
+const MAX_START_AGE_MS: f64 = 60_000.0;
+/// Maximum number of spans kept of a member; further ones extend the last span of the same state.
+const MAX_SPANS: usize = 10_000;
 
+/// Consecutive observations that point to the same state.
 #[derive(Clone, Copy, Debug, Default)]
-struct Doubt {
+struct Evidence {
     since: f64,
     last: f64,
     count: u64,
 }
 
-impl Doubt {
-    /// One more piece of evidence; older than `within` before this one is forgotten.
-    fn add(&mut self, since: f64, at: f64, within: f64) -> u64 {
-        if self.count == 0 || at - self.last > within {
-            *self = Doubt { since, last: at, count: 0 };
+impl Evidence {
+    /// Adds an observation and returns the count. Starts anew if the last one is more than `window_ms` ago.
+    fn add(&mut self, since: f64, at: f64, window_ms: f64) -> u64 {
+        if self.count == 0 || at - self.last > window_ms {
+            *self = Evidence { since, last: at, count: 0 };
         }
         self.since = self.since.min(since);
         self.last = at;
@@ -48,53 +53,62 @@
     }
 }
 
-/// One member as the nodes see it.
+/// History of a member as the nodes observed it.
 #[derive(Clone, Debug, Default)]
-pub struct Track {
-    /// Its name.
+pub struct MemberHistory {
+    /// Name of the member.
     pub name: String,
-    /// Its zone.
+    /// Zone of the member, as an index into the header's zones.
     pub zone: u32,
-    /// Attempts sent there that have ended.
+    /// Attempts sent to the member that have ended.
     pub attempts: u64,
-    /// Of which served.
+    /// Attempts served.
     pub served: u64,
     spans: Vec<Span>,
     phase: Option<Phase>,
+    /// Start of the member's current process.
     born: Option<f64>,
-    words: BTreeMap<Origin, Phase>,
-    alive_at: f64,
-    mute: Doubt,
-    broke: Doubt,
-    refused: Doubt,
-    slow: Doubt,
-    slow_sum: f64,
-    /// Mean time of a message in each span of slowness, in their order.
-    pub slowness: Vec<f64>,
-    slow_word_at: f64,
+    /// Phase that each node recorded last.
+    phase_by_node: BTreeMap<Origin, Phase>,
+    /// Time of the last answer, or of the start of the current process.
+    answered_at: f64,
+    /// Timeouts since the last answer.
+    timeouts: Evidence,
+    /// Connections that broke or could not be made since the last answer.
+    breaks: Evidence,
+    /// Refusals since an attempt was last served.
+    refusals: Evidence,
+    /// Message times above the target since the last one within it.
+    slow_reports: Evidence,
+    slow_ms_sum: f64,
+    /// Mean message time in each span of [`State::Slow`], in the order of the spans.
+    pub slow_span_means_ms: Vec<f64>,
+    /// Time of the last message time report.
+    message_time_at: f64,
     avoided_by: BTreeSet<Origin>,
     load_sum: f64,
-    load_words: u64,
-    load_most: f64,
-    load_at: f64,
+    load_reports: u64,
+    max_load: f64,
+    load_reported_at: f64,
 }
 
-impl Track {
-    /// Its spans, oldest first.
+impl MemberHistory {
+    /// Spans of the member's states, oldest first.
     pub fn spans(&self) -> &[Span] {
         &self.spans
     }
 
-    /// Mean and greatest load that it reported.
+    /// Mean and maximum of the reported load.
     pub fn load(&self) -> Option<(f64, f64)> {
-        (self.load_words > 0).then(|| (self.load_sum / self.load_words as f64, self.load_most))
+        (self.load_reports > 0).then(|| (self.load_sum / self.load_reports as f64, self.max_load))
     }
 
-    /// Whether it is in a state now.
-    pub fn is(&self, state: State) -> bool {
+    /// Whether the member is in a state at present.
+    pub fn is_in(&self, state: State) -> bool {
         self.spans.iter().rev().any(|span| span.state == state && span.until.is_none())
     }
 
+    /// Opens a span, or raises the evidence of the one that is open already.
     fn open(&mut self, state: State, from: f64, evidence: u64) {
         if let Some(open) =
             self.spans.iter_mut().rev().find(|span| span.state == state && span.until.is_none())
@@ -102,7 +116,7 @@
             open.evidence = open.evidence.max(evidence);
             return;
         }
-        if self.spans.len() >= MOST_SPANS
+        if self.spans.len() >= MAX_SPANS
             && let Some(last) = self.spans.iter_mut().rev().find(|span| span.state == state)
         {
             last.until = None;
@@ -119,31 +133,34 @@
         }
     }
 
-    /// Its process is another from now on: what its predecessor did is over.
-    fn fresh(&mut self, at: f64) {
+    /// A new process has replaced the member's old one, or the member is gone: closes the states of the old
+    /// process.
+    fn process_replaced(&mut self, at: f64) {
         for state in [State::Silent, State::Dead, State::Refusing, State::Slow] {
             self.close(state, at);
         }
-        (self.mute, self.broke, self.refused, self.slow) = Default::default();
-        self.alive_at = at;
+        (self.timeouts, self.breaks, self.refusals, self.slow_reports) = Default::default();
+        self.answered_at = at;
     }
 
-    /// A node lists it.
-    pub fn listed(&mut self, origin: Origin, at: f64, phase: Phase, born: Option<f64>, again: bool) {
-        let heard = self.words.insert(origin, phase);
-        if again && heard.is_some() {
+    /// A node recorded the member's phase in the member list.
+    ///
+    /// `born` is the start of its process; `repeated` marks a record repeated at the head of a segment.
+    pub fn listed(&mut self, origin: Origin, at: f64, phase: Phase, born: Option<f64>, repeated: bool) {
+        let known_phase = self.phase_by_node.insert(origin, phase);
+        if repeated && known_phase.is_some() {
             return;
         }
         let restarted =
             phase == Phase::Serving && born.is_some() && born != self.born && self.phase.is_some();
-        let started = born.filter(|born| (at - born).abs() < FRESH_MS).unwrap_or(at);
+        let started = born.filter(|born| (at - born).abs() < MAX_START_AGE_MS).unwrap_or(at);
         if restarted {
-            // Another node's older word must not bring an older process back.
+            // A record of a node with older information must not bring back an older process.
             if self.born.is_some_and(|known| born.is_some_and(|born| born < known)) {
                 return;
             }
             self.born = born;
-            self.fresh(started);
+            self.process_replaced(started);
             for state in [State::Draining, State::Gone] {
                 self.close(state, started);
             }
@@ -161,8 +178,8 @@
             return;
         }
         match phase {
-            // A node that has just begun may go by an older list.
-            Phase::Serving if heard.is_none() => return,
+            // A node that has just started may still use an older member list.
+            Phase::Serving if known_phase.is_none() => return,
             Phase::Serving => {
                 self.close(State::Draining, at);
                 self.close(State::Gone, at);
@@ -170,7 +187,7 @@
             Phase::Draining if self.phase == Some(Phase::Gone) => return,
             Phase::Draining => self.open(State::Draining, at, 1),
             Phase::Gone => {
-                self.fresh(at);
+                self.process_replaced(at);
                 self.close(State::Draining, at);
                 self.close(State::Cold, at);
                 self.open(State::Gone, at, 1);
@@ -179,124 +196,128 @@
         self.phase = Some(phase);
     }
 
-    /// A node's run is over: its words no longer count as heard.
-    pub fn run_over(&mut self, origin: Origin, at: f64) {
-        self.words.remove(&origin);
-        self.avoided(origin, at, false);
+    /// A node's run is over: drops its recorded phase and its avoidance of the member.
+    pub fn run_ended(&mut self, origin: Origin, at: f64) {
+        self.phase_by_node.remove(&origin);
+        self.set_avoided(origin, at, false);
     }
 
-    /// It answered, whatever the answer.
-    pub fn alive(&mut self, at: f64) {
+    /// The member answered, whatever the answer.
+    pub fn answered(&mut self, at: f64) {
         self.close(State::Silent, at);
         self.close(State::Dead, at);
-        (self.mute, self.broke) = Default::default();
-        self.alive_at = at;
+        (self.timeouts, self.breaks) = Default::default();
+        self.answered_at = at;
     }
 
-    /// It served an attempt.
+    /// The member served an attempt.
     pub fn served(&mut self, at: f64) {
-        self.alive(at);
-        // When it took work again lies between the last refusal and this: the middle is nearest.
-        self.close(State::Refusing, (self.refused.last + at) / 2.0);
-        self.refused = Doubt::default();
+        self.answered(at);
+        // The member recovered at some time between the last refusal and this answer: the middle is the best
+        // estimate.
+        self.close(State::Refusing, (self.refusals.last + at) / 2.0);
+        self.refusals = Evidence::default();
         self.attempts += 1;
         self.served += 1;
     }
 
-    fn unanswered(&mut self, at: f64, sent: f64) {
-        let since = sent.max(self.alive_at);
-        let count = self.mute.add(since, at, f64::INFINITY);
+    /// An attempt, probe or connection timed out; `sent` is when its answer was first awaited.
+    fn no_answer(&mut self, at: f64, sent: f64) {
+        let since = sent.max(self.answered_at);
+        let count = self.timeouts.add(since, at, f64::INFINITY);
         if count >= 2 && self.phase != Some(Phase::Gone) {
-            let from = self.mute.since;
+            let from = self.timeouts.since;
             self.open(State::Silent, from, count);
         }
     }
 
-    fn broke(&mut self, at: f64) {
-        let count = self.broke.add(at, at, BROKE_WITHIN_MS);
-        // The end of a drain breaks what is left: that is no surprise.
+    /// A connection broke or could not be made.
+    fn connection_broke(&mut self, at: f64) {
+        let count = self.breaks.add(at, at, BROKEN_WINDOW_MS);
+        // At the end of a drain the remaining connections break, which is no sign of a failure.
         if count >= 2 && self.phase == Some(Phase::Serving) {
-            let from = self.broke.since;
+            let from = self.breaks.since;
             self.open(State::Dead, from, count);
         }
     }
 
-    /// An attempt or a connection has ended.
-    pub fn flow(&mut self, at: f64, outcome: Outcome, stood: bool, took_ms: f64) {
-        self.attempts += u64::from(!stood && outcome != Outcome::Ok);
-        match (outcome, stood) {
-            (Outcome::TimedOut, true) => self.unanswered(at, at - MUTE_MS.min(took_ms)),
-            (Outcome::TimedOut, false) => self.unanswered(at, at - took_ms),
-            (Outcome::Unreachable, _) | (Outcome::Reset, _) => self.broke(at),
+    /// An attempt or, if `connected`, an established connection has ended.
+    pub fn flow_ended(&mut self, at: f64, outcome: Outcome, connected: bool, took_ms: f64) {
+        self.attempts += u64::from(!connected && outcome != Outcome::Ok);
+        match (outcome, connected) {
+            (Outcome::TimedOut, true) => self.no_answer(at, at - SILENCE_DETECTION_MS.min(took_ms)),
+            (Outcome::TimedOut, false) => self.no_answer(at, at - took_ms),
+            (Outcome::Unreachable, _) | (Outcome::Reset, _) => self.connection_broke(at),
             (Outcome::Full | Outcome::Error, _) => {
-                self.alive(at);
-                let count = self.refused.add(at, at, REFUSED_WITHIN_MS);
-                if count >= 3 || self.is(State::Refusing) {
-                    let from = self.refused.since;
+                self.answered(at);
+                let count = self.refusals.add(at, at, REFUSED_WINDOW_MS);
+                if count >= 3 || self.is_in(State::Refusing) {
+                    let from = self.refusals.since;
                     self.open(State::Refusing, from, count);
                 }
             }
-            (Outcome::Ok, false) => self.alive(at),
+            (Outcome::Ok, false) => self.answered(at),
             (Outcome::Ok | Outcome::Cancelled | Outcome::NotSent, _) => {}
         }
     }
 
-    /// A probe has ended.
-    pub fn probed(&mut self, at: f64, outcome: Outcome, load: Option<f64>) {
+    /// A probe has ended, with the load that the member reported.
+    pub fn probe_ended(&mut self, at: f64, outcome: Outcome, load: Option<f64>) {
         match outcome {
-            Outcome::TimedOut => self.unanswered(at, at - PROBE_MS),
-            Outcome::Unreachable | Outcome::Reset => self.broke(at),
-            Outcome::Ok | Outcome::Full | Outcome::Error => self.alive(at),
+            Outcome::TimedOut => self.no_answer(at, at - PROBE_TIMEOUT_MS),
+            Outcome::Unreachable | Outcome::Reset => self.connection_broke(at),
+            Outcome::Ok | Outcome::Full | Outcome::Error => self.answered(at),
             Outcome::Cancelled | Outcome::NotSent => {}
         }
-        if let Some(load) = load.filter(|load| load.is_finite() && at > self.load_at) {
-            self.load_at = at;
+        if let Some(load) = load.filter(|load| load.is_finite() && at > self.load_reported_at) {
+            self.load_reported_at = at;
             self.load_sum += load;
-            self.load_words += 1;
-            self.load_most = self.load_most.max(load);
+            self.load_reports += 1;
+            self.max_load = self.max_load.max(load);
         }
     }
 
-    /// A message takes so long there; `aim_ms` is what the class in the greatest hurry wants.
-    pub fn message(&mut self, at: f64, took_ms: f64, aim_ms: f64) {
-        // A probe's word and what is made of it bear one time.
-        if at <= self.slow_word_at || !took_ms.is_finite() {
+    /// A message at the member takes `took_ms`; `target_ms` is the shortest message time target of all
+    /// classes.
+    pub fn message_time(&mut self, at: f64, took_ms: f64, target_ms: f64) {
+        // A probe's report and the delay record derived from it have the same time and must count once.
+        if at <= self.message_time_at || !took_ms.is_finite() {
             return;
         }
-        self.slow_word_at = at;
-        if took_ms <= aim_ms {
+        self.message_time_at = at;
+        if took_ms <= target_ms {
             self.close(State::Slow, at);
-            (self.slow, self.slow_sum) = Default::default();
+            (self.slow_reports, self.slow_ms_sum) = Default::default();
             return;
         }
-        let count = self.slow.add(at, at, f64::INFINITY);
-        self.slow_sum += took_ms;
+        let count = self.slow_reports.add(at, at, f64::INFINITY);
+        self.slow_ms_sum += took_ms;
         if count >= 2 {
-            let (from, mean) = (self.slow.since, self.slow_sum / count as f64);
-            if !self.is(State::Slow) {
-                self.slowness.push(mean);
+            let (from, mean) = (self.slow_reports.since, self.slow_ms_sum / count as f64);
+            if !self.is_in(State::Slow) {
+                self.slow_span_means_ms.push(mean);
             }
             self.open(State::Slow, from, count);
-            if let Some(last) = self.slowness.last_mut() {
+            if let Some(last) = self.slow_span_means_ms.last_mut() {
                 *last = mean;
             }
         }
     }
 
-    /// A node's view of it.
+    /// A node recorded its view of the member: the part warmed up, and whether the node avoids it.
     pub fn viewed(&mut self, origin: Origin, at: f64, warmth: f64, avoided: bool) {
-        self.avoided(origin, at, avoided);
+        self.set_avoided(origin, at, avoided);
         if warmth >= 0.99 {
             self.close(State::Cold, at);
         } else if self.phase == Some(Phase::Serving)
-            && let Some(born) = self.born.filter(|born| (at - born).abs() < FRESH_MS)
+            && let Some(born) = self.born.filter(|born| (at - born).abs() < MAX_START_AGE_MS)
             && !self.spans.iter().any(|span| span.state == State::Cold && span.from == born)
         {
             self.open(State::Cold, born, 1);
         }
     }
 
-    fn avoided(&mut self, origin: Origin, at: f64, avoided: bool) {
+    fn set_avoided(&mut self, origin: Origin, at: f64, avoided: bool) {
         if avoided {
             self.avoided_by.insert(origin);
             self.open(State::Avoided, at, 1);
@@ -305,9 +326,9 @@
         }
     }
 
-    /// Nothing more is known of it after this.
-    pub fn end(&mut self, last: f64) {
-        // A span can't have begun after the last record.
+    /// Finishes the history at the last record.
+    pub fn finish(&mut self, last: f64) {
+        // Drops spans that would start after the last record.
         self.spans.retain(|span| span.from <= last);
         self.spans.sort_by(|a, b| a.from.total_cmp(&b.from));
     }
--- a/crates/incident/src/wants.rs
+++ b/crates/incident/src/wants.rs
@@ -1,188 +1,202 @@
-//! Who wanted a connection when, and who had one: the share of service lost.
+//! Accounts for the service that clients asked for and for the part of it that was lost.
 //!
-//! A *want* begins when a client asks and lasts until it ends its connection in good order. In between it may wait,
-//! stand at a member, or be away: rejected, failed, moved or broken off, until it asks again.
-//! Each second of a want is worth what its class says. Seconds in which it stands at a member that is neither silent
-//! nor slow are served; all others are lost, and each lost piece bears the cause that the node's record gives.
+//! A *demand* begins when a client asks for a connection and lasts until it ends its connection in good
+//! order. In between, the client may wait, be connected to a member, or be absent: rejected, failed, moved or
+//! disconnected, until it asks again. Each second of a demand counts with the worth of the client's class.
+//! Seconds in which the client is connected to a member that is neither silent nor slow are served. All
+//! others are lost, and each lost piece carries the cause that the node's records give.
 //!
-//! Who comes again is known by the mark that clients set on wires that have one; of which client it is, nothing is
-//! told. The one of its class and tenant that went away last is taken: summed over all clients, who is taken for whom
-//! makes no difference, and those that never come again stay apart from those that do.
+//! Records don't identify clients. A client that asks again is recognised by the mark that clients set on
+//! protocols that have one. It is matched with the client of the same class, tenant and kind of absence that
+//! went away last. Summed over all clients it makes no difference who is matched with whom, and clients that
+//! never return stay apart from those that do.
 //!
-//! What a node can't know is estimated, in one place ([`Ledger::finish`]): clients that went away and were never
-//! heard of again. Part of them would have ended in that time anyway (the usual absence over the usual life); each
-//! that goes beyond that part is taken to have wanted a usual life more.
+//! Clients that went away and never returned are estimated, only in [`Ledger::finish`]. Some of them would
+//! have ended in that time anyway: the mean absence over the mean lifetime. Each client beyond that part is
+//! assumed to have wanted its connection for another mean lifetime.
 
-use crate::curve::{Curve, Scale};
+use crate::curve::{Scale, TimeSeries};
 use hopmoor_record::{ArrivalKind, MemberId, Origin};
 use std::collections::BTreeMap;
 
-/// A client that has not come again after this is taken to stay away.
-const AWAY_MS: f64 = 60_000.0;
+/// A client that has not asked again after this time is assumed not to return.
+const MAX_ABSENCE_MS: f64 = 60_000.0;
 
-/// Clients of a class and tenant that are known to be away, at most.
-const MOST_AWAY: usize = 50_000;
-/// So many went away and none came again with a mark: this wire has none.
-const UNMARKED: u64 = 20;
-/// Waiting longer than this without a failed attempt is waiting for room.
-const SET_UP_MS: f64 = 100.0;
+/// Maximum number of absent clients kept for each class, tenant and kind of absence; the oldest is assumed
+/// not to return.
+const MAX_ABSENT_CLIENTS: usize = 50_000;
+/// If at least this many clients went away and none returned with a mark, the protocol has no marks.
+const MIN_DEPARTURES_TO_JUDGE_MARKS: u64 = 20;
+/// Waiting longer than this without a failed attempt counts as waiting for capacity.
+const MAX_SETUP_MS: f64 = 100.0;
 
-/// Why service was lost, as one record says.
+/// Cause of lost service, as the records give it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// Nothing but the ordinary time of setting up.
+    /// Normal time to set up a connection.
     SetUp,
-    /// It waited in a queue or was turned away, and no member was at fault.
-    Room,
-    /// A member was at fault, or left.
-    Member(MemberId, Why),
-    /// A node was told to end.
+    /// The client waited in a queue, was rejected or failed, and no member was at fault.
+    Capacity,
+    /// A member was at fault or left the pool.
+    Member(MemberId, MemberCause),
+    /// A node was told to shut down.
     NodeLeft(Origin),
-    /// A node ended without a word.
+    /// A node's records end without a shutdown.
     NodeCut(Origin),
 }
 
-/// What a member did to a client.
+/// How a member caused a client to lose service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
-    /// It answered nothing.
+pub enum MemberCause {
+    /// The member did not answer.
     Silent,
-    /// It broke the connection off, or none could be made.
+    /// The connection to the member broke or could not be made.
     Broke,
-    /// It turned it away.
+    /// The member turned the client away or answered with an error.
     Refused,
-    /// Its messages were late.
+    /// Messages at the member took too long.
     Slow,
-    /// It drained.
+    /// The member was draining.
     Drained,
-    /// It was listed no more.
+    /// The member was no longer listed.
     Gone,
-    /// Clients were moved away for relief.
+    /// Clients were moved away to relieve an overloaded member.
     Relief,
 }
 
+/// Whether the client of a demand waits or is connected.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
-    Asking,
-    Standing(MemberId),
+enum DemandState {
+    Waiting,
+    Connected(MemberId),
 }
 
+/// The demand of a client while its transaction is open.
 #[derive(Clone, Debug)]
-struct Want {
+struct Demand {
     class: u32,
     tenant: u32,
-    at: At,
-    /// Up to when it is accounted for.
-    settled: f64,
+    state: DemandState,
+    /// Time up to which it is accounted for.
+    settled_until: f64,
+    /// Time since which the client has been waiting or connected.
     since: f64,
+    /// Cause of its waiting.
     cause: Cause,
-    /// Records were lost since: what it did from `settled` on is known only if it is heard of again.
-    doubtful: bool,
+    /// Records were lost since `settled_until`: what the client did from then on is known only if a later
+    /// record names its transaction.
+    uncertain: bool,
 }
 
-/// How a client went away, and so by which mark it is known when it comes again.
+/// How a client went away. This decides by which mark it is recognised when it returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum How {
-    Turned,
-    Broken,
+enum AbsenceKind {
+    /// Rejected or failed.
+    TurnedAway,
+    /// Moved, or its connection broke.
+    Disconnected,
 }
 
-/// A client that went away.
+/// A client that went away and has not returned yet.
 #[derive(Clone, Copy, Debug)]
-struct Away {
+struct AbsentClient {
     since: f64,
     cause: Cause,
-    /// What becomes of it is not to be guessed at: the records of its node end there.
-    unknown: bool,
+    /// Its loss must not be estimated because the records of its node end here.
+    excluded: bool,
 }
 
-type Kind = (How, u32, u32);
+type AbsenceKey = (AbsenceKind, u32, u32);
 
-/// How clients of a class that went away came again.
+/// Departures and returns of clients of a class and kind of absence.
 #[derive(Clone, Copy, Debug, Default)]
 struct Returns {
-    went: u64,
-    came: u64,
-    absence: f64,
+    departed: u64,
+    returned: u64,
+    /// Sum of the absences of the clients that returned.
+    absence_ms: f64,
 }
 
 impl Returns {
-    /// The usual absence.
+    /// Mean absence in milliseconds; one second if no client has returned yet.
     fn mean(&self) -> f64 {
-        if self.came > 0 { self.absence / self.came as f64 } else { 1_000.0 }
+        if self.returned > 0 { self.absence_ms / self.returned as f64 } else { 1_000.0 }
     }
 }
 
-/// Clients that stood at a member, by class.
+/// Clients of a class that are connected to a member: their number since `since`, and their worth over time.
 #[derive(Clone, Debug, Default)]
-struct Standing {
+struct ConnectedCount {
     open: u32,
     since: f64,
-    curve: Curve,
+    curve: TimeSeries,
 }
 
-/// Lost worth by class, for a cause.
-pub type Lost = BTreeMap<(Cause, u32), Curve>;
+/// Worth-seconds lost over time, by cause and class.
+pub type Lost = BTreeMap<(Cause, u32), TimeSeries>;
 
-/// What a class or a tenant asked for and lost, in worth-seconds.
+/// Worth-seconds asked for and lost, by class or tenant.
 pub type Sums = BTreeMap<u32, (f64, f64)>;
 
-/// The account of all wants.
+/// Accounts for the demands of all clients.
 #[derive(Debug)]
 pub struct Ledger {
-    /// The steps of all curves.
+    /// Time scale of all time series.
     pub scale: Scale,
     worths: Vec<f64>,
-    wants: BTreeMap<(Origin, u64), Want>,
-    away: BTreeMap<Kind, Vec<Away>>,
-    purge_at: f64,
-    never: BTreeMap<(How, Cause, u32, u32), Curve>,
-    returns: BTreeMap<(How, u32), Returns>,
-    standing: BTreeMap<(MemberId, u32), Standing>,
-    stood_ms: BTreeMap<u32, (f64, u64)>,
-    asked: Curve,
+    demands: BTreeMap<(Origin, u64), Demand>,
+    absent: BTreeMap<AbsenceKey, Vec<AbsentClient>>,
+    /// Time from which on clients absent for too long are looked for again.
+    next_expiry_at: f64,
+    /// Clients that went away and did not return, by the time at which they went.
+    unreturned: BTreeMap<(AbsenceKind, Cause, u32, u32), TimeSeries>,
+    returns: BTreeMap<(AbsenceKind, u32), Returns>,
+    standing: BTreeMap<(MemberId, u32), ConnectedCount>,
+    /// Total connected time of each class, and number of connections that ended in good order.
+    connected_ms: BTreeMap<u32, (f64, u64)>,
+    asked: TimeSeries,
     lost: Lost,
     by_class: Sums,
     by_tenant: Sums,
 }
 
-/// What the ledger holds in the end.
+/// Totals of a finished ledger.
 #[derive(Debug, Default)]
-pub struct Account {
-    /// Worth asked for over time.
-    pub asked: Curve,
-    /// Worth lost over time, by cause and class.
+pub struct LedgerTotals {
+    /// Worth-seconds asked for over time.
+    pub asked: TimeSeries,
+    /// Worth-seconds lost over time, by cause and class.
     pub lost: Lost,
-    /// Asked and lost by class, lost at members apart.
+    /// Worth-seconds asked for and lost by class, without losses while connected to a silent or slow member.
     pub by_class: Sums,
-    /// Asked and lost by tenant, lost at members apart.
+    /// Worth-seconds asked for and lost by tenant, without losses while connected to a silent or slow member.
     pub by_tenant: Sums,
-    /// Worth that stood at members over time, by class.
-    pub standing: BTreeMap<(MemberId, u32), Curve>,
+    /// Worth-seconds of connected clients over time, by member and class.
+    pub standing: BTreeMap<(MemberId, u32), TimeSeries>,
 }
 
 impl Ledger {
-    /// An empty account that begins at this time.
+    /// An empty ledger that starts at `from`.
     pub fn new(from: f64) -> Self {
         Ledger {
             scale: Scale::new(from, 1_000.0),
             worths: Vec::new(),
-            wants: BTreeMap::new(),
-            away: BTreeMap::new(),
-            purge_at: from,
-            never: BTreeMap::new(),
+            demands: BTreeMap::new(),
+            absent: BTreeMap::new(),
+            next_expiry_at: from,
+            unreturned: BTreeMap::new(),
             returns: BTreeMap::new(),
             standing: BTreeMap::new(),
-            stood_ms: BTreeMap::new(),
-            asked: Curve::default(),
+            connected_ms: BTreeMap::new(),
+            asked: TimeSeries::default(),
             lost: BTreeMap::new(),
             by_class: BTreeMap::new(),
             by_tenant: BTreeMap::new(),
         }
     }
 
-    /// What a second of each class is worth.
-    pub fn worths(&mut self, worths: Vec<f64>) {
+    /// Sets the worth of a second of service for each class.
+    pub fn set_worths(&mut self, worths: Vec<f64>) {
         self.worths = worths;
     }
 
@@ -190,276 +204,307 @@
         self.worths.get(class as usize).copied().unwrap_or(1.0)
     }
 
-    /// The scale has to reach this time; says how often it was doubled.
-    pub fn reach(&mut self, at: f64) -> u32 {
-        let doubled = self.scale.reach(at);
+    /// Extends the time scale to `at`. Returns how often the step length was doubled.
+    pub fn extend_to(&mut self, at: f64) -> u32 {
+        let doubled = self.scale.extend_to(at);
         if doubled > 0 {
-            self.asked.double(doubled);
-            self.lost.values_mut().for_each(|curve| curve.double(doubled));
-            self.never.values_mut().for_each(|curve| curve.double(doubled));
-            self.standing.values_mut().for_each(|standing| standing.curve.double(doubled));
+            self.asked.double_steps(doubled);
+            self.lost.values_mut().for_each(|curve| curve.double_steps(doubled));
+            self.unreturned.values_mut().for_each(|curve| curve.double_steps(doubled));
+            self.standing.values_mut().for_each(|standing| standing.curve.double_steps(doubled));
         }
         doubled
     }
 
+    /// Accounts for a span of a demand, as lost if a cause is given.
     fn account(&mut self, class: u32, tenant: u32, from: f64, until: f64, lost: Option<Cause>) {
         if until <= from {
             return;
         }
         let rate = self.worth(class) / 1_000.0;
         let worth = rate * (until - from);
-        let part = if lost.is_some() { worth } else { 0.0 };
+        let lost_worth = if lost.is_some() { worth } else { 0.0 };
         for sums in [self.by_class.entry(class).or_default(), self.by_tenant.entry(tenant).or_default()] {
             sums.0 += worth;
-            sums.1 += part;
+            sums.1 += lost_worth;
         }
-        self.asked.spread(&self.scale, from, until, rate);
+        self.asked.add_rate(&self.scale, from, until, rate);
         if let Some(cause) = lost {
-            self.lost.entry((cause, class)).or_default().spread(&self.scale, from, until, rate);
+            self.lost.entry((cause, class)).or_default().add_rate(&self.scale, from, until, rate);
         }
     }
 
-    fn stand(&mut self, member: MemberId, class: u32, at: f64, by: i32) {
+    /// Accounts for the connected clients up to `at`, then changes their number by `by`.
+    fn change_connected(&mut self, member: MemberId, class: u32, at: f64, by: i32) {
         let rate = self.worth(class) / 1_000.0;
         let standing = self.standing.entry((member, class)).or_default();
-        standing.curve.spread(&self.scale, standing.since, at, rate * f64::from(standing.open));
+        standing.curve.add_rate(&self.scale, standing.since, at, rate * f64::from(standing.open));
         standing.open = standing.open.saturating_add_signed(by);
         standing.since = at;
     }
 
-    /// Accounts for a want up to `at`.
-    fn settle(&mut self, want: &mut Want, at: f64) {
-        let lost = match want.at {
-            At::Asking => Some(want.cause),
-            At::Standing(_) => None,
+    /// Accounts for a demand up to `at`.
+    fn settle(&mut self, demand: &mut Demand, at: f64) {
+        let lost = match demand.state {
+            DemandState::Waiting => Some(demand.cause),
+            DemandState::Connected(_) => None,
         };
-        self.account(want.class, want.tenant, want.settled, at, lost);
-        want.settled = at.max(want.settled);
+        self.account(demand.class, demand.tenant, demand.settled_until, at, lost);
+        demand.settled_until = at.max(demand.settled_until);
     }
 
-    /// A client asks.
-    pub fn asked(&mut self, origin: Origin, id: u64, at: f64, class: u32, tenant: u32, coming: ArrivalKind) {
-        self.purge(at);
-        let mut want = Want {
+    /// A client asked for a connection.
+    pub fn client_asked(
+        &mut self,
+        origin: Origin,
+        id: u64,
+        at: f64,
+        class: u32,
+        tenant: u32,
+        coming: ArrivalKind,
+    ) {
+        self.expire_absent(at);
+        let mut demand = Demand {
             class,
             tenant,
-            at: At::Asking,
-            settled: at,
+            state: DemandState::Waiting,
+            settled_until: at,
             since: at,
             cause: Cause::SetUp,
-            doubtful: false,
+            uncertain: false,
         };
-        let how = match coming {
+        let kind = match coming {
             ArrivalKind::First => None,
-            ArrivalKind::Retry => Some(How::Turned),
-            ArrivalKind::Return => Some(How::Broken),
+            ArrivalKind::Retry => Some(AbsenceKind::TurnedAway),
+            ArrivalKind::Return => Some(AbsenceKind::Disconnected),
         };
-        if let Some(how) = how
-            && let Some(away) = self.away.get_mut(&(how, class, tenant)).and_then(Vec::pop)
+        if let Some(kind) = kind
+            && let Some(away) = self.absent.get_mut(&(kind, class, tenant)).and_then(Vec::pop)
         {
-            // It has been wanting all the time.
+            // The client has wanted a connection during its whole absence.
             self.account(class, tenant, away.since, at, Some(away.cause));
-            want.cause = away.cause;
-            let returns = self.returns.entry((how, class)).or_default();
-            returns.came += 1;
-            returns.absence += at - away.since;
+            demand.cause = away.cause;
+            let returns = self.returns.entry((kind, class)).or_default();
+            returns.returned += 1;
+            returns.absence_ms += at - away.since;
         }
-        self.wants.insert((origin, id), want);
+        self.demands.insert((origin, id), demand);
     }
 
-    /// An attempt for it has failed.
-    pub fn hindered(&mut self, origin: Origin, id: u64, at: f64, cause: Cause) {
-        if let Some(mut want) = self.wants.remove(&(origin, id)) {
-            if want.at == At::Asking {
-                // What it has waited so far is this attempt's doing.
-                want.cause = cause;
-                self.settle(&mut want, at);
-                want.doubtful = false;
+    /// An attempt for a waiting client failed.
+    pub fn attempt_failed(&mut self, origin: Origin, id: u64, at: f64, cause: Cause) {
+        if let Some(mut demand) = self.demands.remove(&(origin, id)) {
+            if demand.state == DemandState::Waiting {
+                // The failed attempt is the cause of the wait so far.
+                demand.cause = cause;
+                self.settle(&mut demand, at);
+                demand.uncertain = false;
             }
-            self.wants.insert((origin, id), want);
+            self.demands.insert((origin, id), demand);
         }
     }
 
-    /// It stands at a member.
+    /// A client was connected to a member.
     ///
-    /// Returns whether it had to wait for longer than a set-up takes though no member was at fault.
-    pub fn stands(&mut self, origin: Origin, id: u64, at: f64, member: MemberId) -> bool {
+    /// Returns whether it waited longer than `MAX_SETUP_MS` although no member was at fault.
+    pub fn connected(&mut self, origin: Origin, id: u64, at: f64, member: MemberId) -> bool {
         let mut queued = false;
-        if let Some(mut want) = self.wants.remove(&(origin, id)) {
-            if want.cause == Cause::SetUp && at - want.since > SET_UP_MS {
-                want.cause = Cause::Room;
+        if let Some(mut demand) = self.demands.remove(&(origin, id)) {
+            if demand.cause == Cause::SetUp && at - demand.since > MAX_SETUP_MS {
+                demand.cause = Cause::Capacity;
             }
-            queued = want.cause == Cause::Room;
-            self.settle(&mut want, at);
-            (want.at, want.since, want.doubtful) = (At::Standing(member), at, false);
-            self.stand(member, want.class, at, 1);
-            self.wants.insert((origin, id), want);
+            queued = demand.cause == Cause::Capacity;
+            self.settle(&mut demand, at);
+            (demand.state, demand.since, demand.uncertain) = (DemandState::Connected(member), at, false);
+            self.change_connected(member, demand.class, at, 1);
+            self.demands.insert((origin, id), demand);
         }
         queued
     }
 
-    /// A want whose beginning was lost with other records is known from now on.
-    pub fn known(&mut self, origin: Origin, id: u64, asked: f64, class: u32, tenant: u32) {
-        if !self.wants.contains_key(&(origin, id)) {
-            self.asked(origin, id, asked, class, tenant, ArrivalKind::First);
+    /// Adds a demand that is not known because the record of its start was lost.
+    pub fn ensure_known(&mut self, origin: Origin, id: u64, asked: f64, class: u32, tenant: u32) {
+        if !self.demands.contains_key(&(origin, id)) {
+            self.client_asked(origin, id, asked, class, tenant, ArrivalKind::First);
         }
     }
 
-    fn take(&mut self, origin: Origin, id: u64, at: f64) -> Option<Want> {
-        let mut want = self.wants.remove(&(origin, id))?;
-        if let At::Standing(member) = want.at {
-            if want.doubtful {
-                // It has stood all the while after all.
-                let rate = self.worth(want.class) / 1_000.0;
-                let standing = self.standing.entry((member, want.class)).or_default();
-                standing.curve.spread(&self.scale, want.settled, at, rate);
+    /// Removes a demand and accounts for it up to `at`.
+    fn close(&mut self, origin: Origin, id: u64, at: f64) -> Option<Demand> {
+        let mut demand = self.demands.remove(&(origin, id))?;
+        if let DemandState::Connected(member) = demand.state {
+            if demand.uncertain {
+                // This record confirms that the client was connected all the time.
+                let rate = self.worth(demand.class) / 1_000.0;
+                let standing = self.standing.entry((member, demand.class)).or_default();
+                standing.curve.add_rate(&self.scale, demand.settled_until, at, rate);
             } else {
-                self.stand(member, want.class, at, -1);
+                self.change_connected(member, demand.class, at, -1);
             }
-            let stood = self.stood_ms.entry(want.class).or_default();
-            stood.0 += (at - want.since).max(0.0);
+            let connected = self.connected_ms.entry(demand.class).or_default();
+            connected.0 += (at - demand.since).max(0.0);
         }
-        if want.doubtful && want.at == At::Asking {
-            // It may have stood in between: nothing is said of that time.
-            want.settled = at;
+        if demand.uncertain && demand.state == DemandState::Waiting {
+            // The client may have been connected in between: that time is left out.
+            demand.settled_until = at;
         }
-        self.settle(&mut want, at);
-        Some(want)
+        self.settle(&mut demand, at);
+        Some(demand)
     }
 
-    /// It ended as its client wanted it to.
+    /// A demand ended as its client wanted.
     pub fn ended(&mut self, origin: Origin, id: u64, at: f64) {
-        if let Some(want) = self.take(origin, id, at)
-            && matches!(want.at, At::Standing(_))
+        if let Some(demand) = self.close(origin, id, at)
+            && matches!(demand.state, DemandState::Connected(_))
         {
-            self.stood_ms.entry(want.class).or_default().1 += 1;
+            self.connected_ms.entry(demand.class).or_default().1 += 1;
         }
     }
 
-    /// Its connection ended, or it was turned away, and its client is expected to come again. `None` for a cause:
-    /// that of the wait before.
-    pub fn went(&mut self, origin: Origin, id: u64, at: f64, cause: Option<Cause>) {
+    /// A client was disconnected or moved because of `cause`, and is expected to ask again. Without a cause
+    /// it was rejected or failed while waiting, and the cause of the wait applies.
+    pub fn went_away(&mut self, origin: Origin, id: u64, at: f64, cause: Option<Cause>) {
         if cause.is_none()
-            && let Some(want) = self.wants.get_mut(&(origin, id)).filter(|want| want.cause == Cause::SetUp)
+            && let Some(demand) =
+                self.demands.get_mut(&(origin, id)).filter(|demand| demand.cause == Cause::SetUp)
         {
-            want.cause = Cause::Room;
+            demand.cause = Cause::Capacity;
         }
-        if let Some(want) = self.take(origin, id, at) {
-            let how = if cause.is_none() { How::Turned } else { How::Broken };
-            self.goes(want, at, how, cause, false);
+        if let Some(demand) = self.close(origin, id, at) {
+            let kind = if cause.is_none() { AbsenceKind::TurnedAway } else { AbsenceKind::Disconnected };
+            self.add_absent(demand, at, kind, cause, false);
         }
     }
 
-    fn goes(&mut self, want: Want, at: f64, how: How, cause: Option<Cause>, unknown: bool) {
-        let away = Away { since: at, cause: cause.unwrap_or(want.cause), unknown };
-        if !unknown {
-            self.returns.entry((how, want.class)).or_default().went += 1;
+    /// Adds the client of a closed demand to the absent clients.
+    fn add_absent(
+        &mut self,
+        demand: Demand,
+        at: f64,
+        kind: AbsenceKind,
+        cause: Option<Cause>,
+        excluded: bool,
+    ) {
+        let away = AbsentClient { since: at, cause: cause.unwrap_or(demand.cause), excluded };
+        if !excluded {
+            self.returns.entry((kind, demand.class)).or_default().departed += 1;
         }
-        let kind = (how, want.class, want.tenant);
-        let all = self.away.entry(kind).or_default();
+        let key = (kind, demand.class, demand.tenant);
+        let all = self.absent.entry(key).or_default();
         all.push(away);
-        if all.len() > MOST_AWAY {
+        if all.len() > MAX_ABSENT_CLIENTS {
             let first = all.remove(0);
-            self.stays_away(kind, first);
+            self.count_unreturned(key, first);
         }
     }
 
-    fn stays_away(&mut self, (how, class, tenant): Kind, away: Away) {
-        if !away.unknown {
-            let curve = self.never.entry((how, away.cause, class, tenant)).or_default();
-            curve.count(&self.scale, away.since, 1.0);
+    /// Counts a client that did not return, for the estimate in [`Ledger::finish`].
+    fn count_unreturned(&mut self, (kind, class, tenant): AbsenceKey, away: AbsentClient) {
+        if !away.excluded {
+            let curve = self.unreturned.entry((kind, away.cause, class, tenant)).or_default();
+            curve.add(&self.scale, away.since, 1.0);
         }
     }
 
-    fn purge(&mut self, at: f64) {
-        if at < self.purge_at {
+    /// Gives up on clients absent for longer than [`MAX_ABSENCE_MS`], at most every quarter of that time.
+    fn expire_absent(&mut self, at: f64) {
+        if at < self.next_expiry_at {
             return;
         }
-        self.purge_at = at + AWAY_MS / 4.0;
+        self.next_expiry_at = at + MAX_ABSENCE_MS / 4.0;
         let mut old = Vec::new();
-        for (kind, all) in &mut self.away {
-            let gone = all.partition_point(|away| at - away.since > AWAY_MS);
-            old.extend(all.drain(..gone).map(|away| (*kind, away)));
+        for (key, all) in &mut self.absent {
+            let gone = all.partition_point(|away| at - away.since > MAX_ABSENCE_MS);
+            old.extend(all.drain(..gone).map(|away| (*key, away)));
         }
-        old.into_iter().for_each(|(kind, away)| self.stays_away(kind, away));
+        old.into_iter().for_each(|(key, away)| self.count_unreturned(key, away));
     }
 
-    /// Records of a node were lost from `since` on: what its clients did after that is not known.
-    pub fn doubt(&mut self, origin: Origin, since: f64) {
-        let ids: Vec<_> = self.wants.keys().filter(|(of, _)| *of == origin).copied().collect();
-        for key in ids {
-            let Some(mut want) = self.wants.remove(&key) else { continue };
-            match want.at {
-                _ if want.doubtful => {}
-                // Its answer may have been lost: without another word it must not seem to wait for ever.
-                At::Asking => {
-                    self.settle(&mut want, since);
-                    want.doubtful = true;
+    /// Records of a node were lost from `since` on: what its clients did from then on is not known.
+    pub fn records_lost(&mut self, origin: Origin, since: f64) {
+        let keys: Vec<_> = self.demands.keys().filter(|(node, _)| *node == origin).copied().collect();
+        for key in keys {
+            let Some(mut demand) = self.demands.remove(&key) else { continue };
+            match demand.state {
+                _ if demand.uncertain => {}
+                // The record of the answer may be lost: without a later record the client must not seem to
+                // wait forever.
+                DemandState::Waiting => {
+                    self.settle(&mut demand, since);
+                    demand.uncertain = true;
                 }
-                At::Standing(member) => {
-                    self.stand(member, want.class, since.max(want.since), -1);
-                    self.settle(&mut want, since);
-                    want.doubtful = true;
+                DemandState::Connected(member) => {
+                    self.change_connected(member, demand.class, since.max(demand.since), -1);
+                    self.settle(&mut demand, since);
+                    demand.uncertain = true;
                 }
             }
-            self.wants.insert(key, want);
+            self.demands.insert(key, demand);
         }
     }
 
-    /// A node's run is over. What stood there is away; whether it came again elsewhere, other records tell.
-    pub fn run_over(&mut self, origin: Origin, at: f64, cause: Cause) {
-        let ids: Vec<_> = self.wants.keys().filter(|(of, _)| *of == origin).copied().collect();
+    /// A node's run is over: its clients are absent. Records of other nodes show whether they returned there.
+    pub fn run_ended(&mut self, origin: Origin, at: f64, cause: Cause) {
+        let ids: Vec<_> = self.demands.keys().filter(|(node, _)| *node == origin).copied().collect();
         for (origin, id) in ids {
-            let doubtful = self.wants.get(&(origin, id)).is_some_and(|want| want.doubtful);
-            if doubtful {
-                self.wants.remove(&(origin, id));
-            } else if let Some(want) = self.take(origin, id, at) {
-                self.goes(want, at, How::Broken, Some(cause), true);
+            let uncertain = self.demands.get(&(origin, id)).is_some_and(|demand| demand.uncertain);
+            if uncertain {
+                self.demands.remove(&(origin, id));
+            } else if let Some(demand) = self.close(origin, id, at) {
+                self.add_absent(demand, at, AbsenceKind::Disconnected, Some(cause), true);
             }
         }
     }
 
-    /// Closes the account at the last record's time, and estimates what can only be estimated.
-    pub fn finish(mut self, at: f64) -> Account {
-        let ids: Vec<_> = self.wants.keys().copied().collect();
+    /// Closes the ledger at the time of the last record, and estimates the losses of clients that never
+    /// returned.
+    pub fn finish(mut self, at: f64) -> LedgerTotals {
+        let ids: Vec<_> = self.demands.keys().copied().collect();
         for (origin, id) in ids {
-            if !self.wants.get(&(origin, id)).is_some_and(|want| want.doubtful) {
-                self.take(origin, id, at);
+            if !self.demands.get(&(origin, id)).is_some_and(|demand| demand.uncertain) {
+                self.close(origin, id, at);
             }
         }
-        // Those away just now are not given up yet: they have wanted until now.
-        for (kind, all) in std::mem::take(&mut self.away) {
-            let usual = self.returns.get(&(kind.0, kind.1)).copied().unwrap_or_default().mean();
-            for away in all.into_iter().filter(|away| !away.unknown) {
-                if at - away.since > 3.0 * usual {
-                    self.stays_away(kind, away);
+        // Clients that went away only recently may still return: they count as having wanted a connection
+        // until now.
+        for (key, all) in std::mem::take(&mut self.absent) {
+            let mean_absence_ms = self.returns.get(&(key.0, key.1)).copied().unwrap_or_default().mean();
+            for away in all.into_iter().filter(|away| !away.excluded) {
+                if at - away.since > 3.0 * mean_absence_ms {
+                    self.count_unreturned(key, away);
                 } else {
-                    self.account(kind.1, kind.2, away.since, at, Some(away.cause));
+                    self.account(key.1, key.2, away.since, at, Some(away.cause));
                 }
             }
         }
-        for ((how, cause, class, tenant), curve) in std::mem::take(&mut self.never) {
-            let returns = self.returns.get(&(how, class)).copied().unwrap_or_default();
-            // Where many went and nobody ever came, clients set no mark: nothing can be said of them.
-            if returns.came == 0 && returns.went >= UNMARKED {
+        for ((kind, cause, class, tenant), curve) in std::mem::take(&mut self.unreturned) {
+            let returns = self.returns.get(&(kind, class)).copied().unwrap_or_default();
+            // Many went away and none returned: the protocol has no marks, so that nothing can be estimated.
+            if returns.returned == 0 && returns.departed >= MIN_DEPARTURES_TO_JUDGE_MARKS {
                 continue;
             }
-            let absence = returns.mean();
-            let (stood, ends) = self.stood_ms.get(&class).copied().unwrap_or_default();
-            let life = if ends > 0 { stood / ends as f64 } else { 0.0 };
-            let never = returns.went.saturating_sub(returns.came) as f64;
-            let natural = if life > 0.0 { never.min(returns.went as f64 * absence / life) } else { never };
-            let each = (natural * absence / 2.0 + (never - natural) * life) / never.max(1.0);
+            let mean_absence_ms = returns.mean();
+            let (connected_ms, ended) = self.connected_ms.get(&class).copied().unwrap_or_default();
+            let lifetime_ms = if ended > 0 { connected_ms / ended as f64 } else { 0.0 };
+            let unreturned = returns.departed.saturating_sub(returns.returned) as f64;
+            let ended_anyway = if lifetime_ms > 0.0 {
+                unreturned.min(returns.departed as f64 * mean_absence_ms / lifetime_ms)
+            } else {
+                unreturned
+            };
+            let mean_loss_ms = (ended_anyway * mean_absence_ms / 2.0
+                + (unreturned - ended_anyway) * lifetime_ms)
+                / unreturned.max(1.0);
             let rate = self.worth(class) / 1_000.0;
-            // They are put where they went away, and as long after it as each is taken to have wanted; nothing after
-            // the last record.
+            // The loss is spread from the time at which the clients went away over the mean loss per client,
+            // but not beyond the last record.
             let mut lost = 0.0;
-            let steps = curve.values(crate::curve::MOST, 1.0);
-            for (place, count) in steps.iter().enumerate().filter(|(_, count)| **count > 0.0) {
-                let from = self.scale.from + place as f64 * self.scale.step;
-                let (until, rate) = ((from + each).min(at), f64::from(*count) * rate);
-                self.asked.spread(&self.scale, from, until, rate);
-                self.lost.entry((cause, class)).or_default().spread(&self.scale, from, until, rate);
+            let steps = curve.values(crate::curve::MAX_STEPS, 1.0);
+            for (index, count) in steps.iter().enumerate().filter(|(_, count)| **count > 0.0) {
+                let from = self.scale.from + index as f64 * self.scale.step_ms;
+                let (until, rate) = ((from + mean_loss_ms).min(at), f64::from(*count) * rate);
+                self.asked.add_rate(&self.scale, from, until, rate);
+                self.lost.entry((cause, class)).or_default().add_rate(&self.scale, from, until, rate);
                 lost += rate * (until - from).max(0.0);
             }
             for sums in [self.by_class.entry(class).or_default(), self.by_tenant.entry(tenant).or_default()] {
@@ -469,7 +514,7 @@
         }
         let standing = self.standing.into_iter().map(|(key, standing)| (key, standing.curve)).collect();
         let (by_class, by_tenant) = (self.by_class, self.by_tenant);
-        Account { asked: self.asked, lost: self.lost, by_class, by_tenant, standing }
+        LedgerTotals { asked: self.asked, lost: self.lost, by_class, by_tenant, standing }
     }
 }
 
--- a/crates/incident/src/wants/tests.rs
+++ b/crates/incident/src/wants/tests.rs
@@ -1,75 +1,75 @@
 use super::*;
 
-const HERE: Origin = Origin(0);
-const S: MemberId = MemberId(3);
+const NODE: Origin = Origin(0);
+const MEMBER: MemberId = MemberId(3);
 
-fn lost(account: &Account) -> f64 {
-    account.lost.values().map(Curve::sum).sum()
+fn lost(totals: &LedgerTotals) -> f64 {
+    totals.lost.values().map(TimeSeries::sum).sum()
 }
 
 #[test]
-fn waiting_and_absence_are_lost_and_standing_is_served() {
+fn waiting_and_absence_count_as_lost_and_connected_time_as_served() {
     let mut ledger = Ledger::new(0.0);
-    ledger.worths(vec![2.0]);
-    ledger.asked(HERE, 1, 0.0, 0, 0, ArrivalKind::First);
-    ledger.stands(HERE, 1, 1_000.0, S);
-    ledger.went(HERE, 1, 5_000.0, Some(Cause::Member(S, Why::Drained)));
-    ledger.asked(Origin(1), 7, 5_500.0, 0, 0, ArrivalKind::Return);
-    ledger.stands(Origin(1), 7, 5_600.0, S);
+    ledger.set_worths(vec![2.0]);
+    ledger.client_asked(NODE, 1, 0.0, 0, 0, ArrivalKind::First);
+    ledger.connected(NODE, 1, 1_000.0, MEMBER);
+    ledger.went_away(NODE, 1, 5_000.0, Some(Cause::Member(MEMBER, MemberCause::Drained)));
+    ledger.client_asked(Origin(1), 7, 5_500.0, 0, 0, ArrivalKind::Return);
+    ledger.connected(Origin(1), 7, 5_600.0, MEMBER);
     ledger.ended(Origin(1), 7, 10_000.0);
-    let account = ledger.finish(20_000.0);
-    assert!((account.asked.sum() - 20.0).abs() < 0.01, "{}", account.asked.sum());
-    assert!((lost(&account) - 3.2).abs() < 0.01);
-    let drained = account.lost.get(&(Cause::Member(S, Why::Drained), 0)).map(Curve::sum);
+    let totals = ledger.finish(20_000.0);
+    assert!((totals.asked.sum() - 20.0).abs() < 0.01, "{}", totals.asked.sum());
+    assert!((lost(&totals) - 3.2).abs() < 0.01);
+    let drained = totals.lost.get(&(Cause::Member(MEMBER, MemberCause::Drained), 0)).map(TimeSeries::sum);
     assert!((drained.unwrap() - 1.2).abs() < 0.01, "absence, and the wait after it");
 }
 
 #[test]
-fn records_that_end_are_no_recovery_and_no_loss() {
+fn time_after_a_node_s_records_end_is_neither_asked_nor_lost() {
     let mut ledger = Ledger::new(0.0);
-    ledger.asked(HERE, 1, 0.0, 0, 0, ArrivalKind::First);
-    ledger.stands(HERE, 1, 0.0, S);
-    ledger.run_over(HERE, 4_000.0, Cause::NodeCut(HERE));
-    let account = ledger.finish(60_000.0);
-    assert!((account.asked.sum() - 4.0).abs() < 0.01 && lost(&account) == 0.0);
+    ledger.client_asked(NODE, 1, 0.0, 0, 0, ArrivalKind::First);
+    ledger.connected(NODE, 1, 0.0, MEMBER);
+    ledger.run_ended(NODE, 4_000.0, Cause::NodeCut(NODE));
+    let totals = ledger.finish(60_000.0);
+    assert!((totals.asked.sum() - 4.0).abs() < 0.01 && lost(&totals) == 0.0);
 }
 
 #[test]
-fn what_stood_over_a_gap_counts_once_it_is_heard_of_again() {
+fn connected_time_across_a_gap_counts_once_a_later_record_confirms_it() {
     let mut ledger = Ledger::new(0.0);
     for id in [1, 2] {
-        ledger.asked(HERE, id, 0.0, 0, 0, ArrivalKind::First);
-        ledger.stands(HERE, id, 0.0, S);
+        ledger.client_asked(NODE, id, 0.0, 0, 0, ArrivalKind::First);
+        ledger.connected(NODE, id, 0.0, MEMBER);
     }
-    ledger.doubt(HERE, 3_000.0);
-    ledger.ended(HERE, 1, 10_000.0);
-    let account = ledger.finish(20_000.0);
-    assert!((account.asked.sum() - 13.0).abs() < 0.01, "{}", account.asked.sum());
-    let stood: f64 = account.standing.values().map(Curve::sum).sum();
+    ledger.records_lost(NODE, 3_000.0);
+    ledger.ended(NODE, 1, 10_000.0);
+    let totals = ledger.finish(20_000.0);
+    assert!((totals.asked.sum() - 13.0).abs() < 0.01, "{}", totals.asked.sum());
+    let stood: f64 = totals.standing.values().map(TimeSeries::sum).sum();
     assert!((stood - 13.0).abs() < 0.01, "{stood}");
 }
 
 #[test]
-fn a_client_whose_answer_was_lost_does_not_wait_for_ever() {
+fn a_client_whose_answer_record_was_lost_does_not_wait_forever() {
     let mut ledger = Ledger::new(0.0);
-    ledger.asked(HERE, 1, 0.0, 0, 0, ArrivalKind::First);
-    ledger.doubt(HERE, 500.0);
-    ledger.run_over(HERE, 600_000.0, Cause::NodeLeft(HERE));
-    let account = ledger.finish(600_000.0);
-    assert!((lost(&account) - 0.5).abs() < 0.01, "{}", lost(&account));
+    ledger.client_asked(NODE, 1, 0.0, 0, 0, ArrivalKind::First);
+    ledger.records_lost(NODE, 500.0);
+    ledger.run_ended(NODE, 600_000.0, Cause::NodeLeft(NODE));
+    let totals = ledger.finish(600_000.0);
+    assert!((lost(&totals) - 0.5).abs() < 0.01, "{}", lost(&totals));
 }
 
 #[test]
-fn those_turned_away_for_good_cost_a_usual_life_each() {
+fn each_client_that_never_returns_costs_a_mean_connection_lifetime() {
     let mut ledger = Ledger::new(0.0);
     for id in 0..10 {
-        ledger.asked(HERE, id, 0.0, 0, 0, ArrivalKind::First);
-        ledger.stands(HERE, id, 0.0, S);
-        ledger.ended(HERE, id, 30_000.0);
+        ledger.client_asked(NODE, id, 0.0, 0, 0, ArrivalKind::First);
+        ledger.connected(NODE, id, 0.0, MEMBER);
+        ledger.ended(NODE, id, 30_000.0);
     }
-    ledger.asked(HERE, 99, 30_000.0, 0, 0, ArrivalKind::First);
-    ledger.went(HERE, 99, 30_000.0, None);
-    let account = ledger.finish(200_000.0);
-    let lost = lost(&account);
+    ledger.client_asked(NODE, 99, 30_000.0, 0, 0, ArrivalKind::First);
+    ledger.went_away(NODE, 99, 30_000.0, None);
+    let totals = ledger.finish(200_000.0);
+    let lost = lost(&totals);
     assert!((29.0..=30.1).contains(&lost), "{lost}");
 }
--- a/crates/incident/tests/any_records.rs
+++ b/crates/incident/tests/any_records.rs
@@ -1,4 +1,4 @@
-//! Whatever a node may have recorded, in whatever order: no panic, and sums that hold.
+//! Property test: for any records in any order the analysis does not panic and its sums stay consistent.
 use hopmoor_incident::{Board, Findings, analyse};
 use hopmoor_record::folder::Item;
 use hopmoor_record::*;
@@ -123,7 +123,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn sums_hold_whatever_was_recorded(
+    fn sums_are_consistent_for_any_records(
         a in proptest::collection::vec((0f64..900.0, event(), prop::bool::weighted(0.02)), 0..150),
         b in proptest::collection::vec((0f64..900.0, event(), prop::bool::weighted(0.02)), 0..150),
     ) {
--- a/crates/incident/tests/clock.rs
+++ b/crates/incident/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks that are set: order stays as written, and the report says what it did about it.
+//! Clock steps: records stay in the order in which they were written, and the findings report the step.
 use hopmoor_incident::{RunEnd, analyse};
 use hopmoor_record::folder::Item;
 use hopmoor_record::{ArrivalKind, Asked, Counters, Event, Gap, Header, Merged, Record, Stopped};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_restart_on_an_earlier_clock_is_shown_after_what_came_before() {
+fn a_run_on_an_earlier_clock_is_placed_after_the_run_before_it() {
     let one = vec![header("a", 100_000.0), asked(101_000.0, 1), header("a", 40_000.0), asked(41_000.0, 1)];
     let two = vec![
         header("b", 100_000.0),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_host_clock_that_is_set_moves_nothing_and_is_told() {
+fn a_step_of_the_host_clock_moves_no_records_and_is_reported() {
     let counters = |at: f64, wall: f64| record(at, Counters { wall, values: Vec::new() });
     let items = vec![
         header("a", 1e9),
