--- a/crates/incident/src/analysis.rs
+++ b/crates/incident/src/analysis.rs
@@ -368,15 +368,15 @@
             }
             Event::Fault(fault) => self.add_issue(origin, at, fault.what.clone()),
             Event::Neighbour(neighbour) => {
-                let by = source.name.clone();
-                self.peer_deaths.record(&by, at, neighbour);
+                let observer = source.name.clone();
+                self.peer_deaths.record(&observer, at, neighbour);
             }
             Event::Blind(_) => match &mut source.discovery_outage {
                 Some((_, until, count)) if at - *until < 15_000.0 => (*until, *count) = (at, *count + 1),
                 outage => {
-                    let before = outage.replace((at, at, 1));
+                    let previous = outage.replace((at, at, 1));
                     self.discovery_outages
-                        .extend(before.map(|(from, until, count)| (origin, from, until, count)));
+                        .extend(previous.map(|(from, until, count)| (origin, from, until, count)));
                 }
             },
         }
@@ -385,13 +385,13 @@
     fn flow(&mut self, origin: Origin, at: f64, flow: &hopmoor_record::Flow) {
         let history = self.members.entry(flow.member).or_default();
         history.flow_ended(at, flow.outcome, flow.stood, f64::from(flow.took_ms));
-        let why = match flow.outcome {
+        let member_cause = match flow.outcome {
             Outcome::TimedOut => Some(MemberCause::Silent),
             Outcome::Unreachable | Outcome::Reset => Some(MemberCause::Broke),
             Outcome::Full | Outcome::Error => Some(MemberCause::Refused),
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => None,
         };
-        let cause = why.map(|why| Cause::Member(flow.member, why));
+        let cause = member_cause.map(|member_cause| Cause::Member(flow.member, member_cause));
         match (flow.stood, cause) {
             (false, Some(cause)) => self.ledger.attempt_failed(origin, flow.transaction, at, cause),
             (false, None) => {}
--- a/crates/incident/src/analysis/drawn.rs
+++ b/crates/incident/src/analysis/drawn.rs
@@ -47,7 +47,8 @@
                 for (index, class) in self.site.classes.iter().enumerate() {
                     let affected = span.state == State::Silent
                         || class.message_aim_ms > 0.0 && message_ms > class.message_aim_ms;
-                    let Some(curve) = totals.standing.get(&(*id, index as u32)).filter(|_| affected) else {
+                    let Some(curve) = totals.connected_clients.get(&(*id, index as u32)).filter(|_| affected)
+                    else {
                         continue;
                     };
                     // Time in which the member was both silent and slow counts once, for the earlier span.
@@ -203,7 +204,7 @@
                     let matches_cause = incident.kind == *kind
                         && match cause {
                             Cause::Member(id, _) => *member == Some(*id),
-                            Cause::NodeLeft(of) | Cause::NodeCut(of) => *origin == Some(*of),
+                            Cause::NodeLeft(node) | Cause::NodeCut(node) => *origin == Some(*node),
                             Cause::Capacity | Cause::SetUp => true,
                         };
                     if !matches_cause {
@@ -266,7 +267,7 @@
         };
         let members = self.members.iter().map(|(id, history)| {
             let mut standing = TimeSeries::default();
-            for ((member, _), curve) in totals.standing.range((*id, 0)..=(*id, u32::MAX)) {
+            for ((member, _), curve) in totals.connected_clients.range((*id, 0)..=(*id, u32::MAX)) {
                 debug_assert_eq!(member, id);
                 for (index, value) in curve.values(steps, per_second).iter().enumerate() {
                     standing.add(scale, scale.from + (index as f64 + 0.5) * scale.step_ms, f64::from(*value));
--- a/crates/incident/src/board.rs
+++ b/crates/incident/src/board.rs
@@ -173,7 +173,8 @@
     /// Events, oldest first.
     pub lines: VecDeque<Line>,
     tenant_usage: BTreeMap<(u32, Origin), TenantUsage>,
-    /// The shortest message time target of all classes; infinite if no class has one.
+    /// The shortest message time target of all classes; infinite if no class has one, and 0 before the
+    /// first header.
     message_target_ms: f64,
     /// Time, served and unserved transactions (each 0 or 1) of recent answers.
     recent_answers: VecDeque<(f64, f64, f64)>,
--- a/crates/incident/src/fleet.rs
+++ b/crates/incident/src/fleet.rs
@@ -8,6 +8,7 @@
 /// Further ones are only counted.
 const MAX_SPANS: usize = 1_000;
 
+/// A period in which at least one node held another dead.
 #[derive(Clone, Debug)]
 struct DeadSpan {
     from: f64,
@@ -22,7 +23,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerDeaths {
     spans: BTreeMap<String, Vec<DeadSpan>>,
+    /// Spans kept, over all nodes.
     span_count: usize,
+    /// Spans beyond [`MAX_SPANS`].
     unlisted: u64,
 }
 
--- a/crates/incident/src/member.rs
+++ b/crates/incident/src/member.rs
@@ -26,8 +26,8 @@
 const BROKEN_WINDOW_MS: f64 = 1_000.0;
 /// Refused attempts further apart than this are unrelated.
 const REFUSED_WINDOW_MS: f64 = 10_000.0;
-/// A recorded start time is used only if it is less than this away from the record; otherwise the record's
-/// own time is.
+/// A recorded start of a member's process is used only if it is less than this away from the record's time.
+/// Otherwise a restart counts from the record's time, and no cold span is opened.
 const MAX_START_AGE_MS: f64 = 60_000.0;
 /// Maximum number of spans kept of a member; further ones extend the last span of the same state.
 const MAX_SPANS: usize = 10_000;
@@ -35,7 +35,9 @@
 /// Consecutive observations that point to the same state.
 #[derive(Clone, Copy, Debug, Default)]
 struct Evidence {
+    /// Start of the state that the observations point to.
     since: f64,
+    /// Time of the last observation.
     last: f64,
     count: u64,
 }
@@ -67,7 +69,7 @@
     spans: Vec<Span>,
     phase: Option<Phase>,
     /// Start of the member's current process.
-    born: Option<f64>,
+    process_start: Option<f64>,
     /// Phase that each node recorded last.
     phase_by_node: BTreeMap<Origin, Phase>,
     /// Time of the last answer, or of the start of the current process.
@@ -125,6 +127,7 @@
         self.spans.push(Span { state, from, until: None, evidence });
     }
 
+    /// Closes the open span of a state, if there is one.
     fn close(&mut self, state: State, at: f64) {
         if let Some(open) =
             self.spans.iter_mut().rev().find(|span| span.state == state && span.until.is_none())
@@ -145,21 +148,31 @@
 
     /// A node recorded the member's phase in the member list.
     ///
-    /// `born` is the start of its process; `repeated` marks a record repeated at the head of a segment.
-    pub fn listed(&mut self, origin: Origin, at: f64, phase: Phase, born: Option<f64>, repeated: bool) {
+    /// `process_start` is the start of its process; `repeated` marks a record repeated at the head of a
+    /// segment.
+    pub fn listed(
+        &mut self,
+        origin: Origin,
+        at: f64,
+        phase: Phase,
+        process_start: Option<f64>,
+        repeated: bool,
+    ) {
         let known_phase = self.phase_by_node.insert(origin, phase);
         if repeated && known_phase.is_some() {
             return;
         }
-        let restarted =
-            phase == Phase::Serving && born.is_some() && born != self.born && self.phase.is_some();
-        let started = born.filter(|born| (at - born).abs() < MAX_START_AGE_MS).unwrap_or(at);
+        let restarted = phase == Phase::Serving
+            && process_start.is_some()
+            && process_start != self.process_start
+            && self.phase.is_some();
+        let started = process_start.filter(|start| (at - start).abs() < MAX_START_AGE_MS).unwrap_or(at);
         if restarted {
             // A record of a node with older information must not bring back an older process.
-            if self.born.is_some_and(|known| born.is_some_and(|born| born < known)) {
+            if self.process_start.is_some_and(|known| process_start.is_some_and(|start| start < known)) {
                 return;
             }
-            self.born = born;
+            self.process_start = process_start;
             self.process_replaced(started);
             for state in [State::Draining, State::Gone] {
                 self.close(state, started);
@@ -168,7 +181,7 @@
             return;
         }
         if self.phase.is_none() {
-            (self.phase, self.born) = (Some(phase), born);
+            (self.phase, self.process_start) = (Some(phase), process_start);
             if phase == Phase::Draining {
                 self.open(State::Draining, at, 1);
             }
@@ -310,10 +323,11 @@
         if warmth >= 0.99 {
             self.close(State::Cold, at);
         } else if self.phase == Some(Phase::Serving)
-            && let Some(born) = self.born.filter(|born| (at - born).abs() < MAX_START_AGE_MS)
-            && !self.spans.iter().any(|span| span.state == State::Cold && span.from == born)
+            && let Some(process_start) =
+                self.process_start.filter(|start| (at - start).abs() < MAX_START_AGE_MS)
+            && !self.spans.iter().any(|span| span.state == State::Cold && span.from == process_start)
         {
-            self.open(State::Cold, born, 1);
+            self.open(State::Cold, process_start, 1);
         }
     }
 
--- a/crates/incident/src/wants.rs
+++ b/crates/incident/src/wants.rs
@@ -11,9 +11,9 @@
 //! went away last. Summed over all clients it makes no difference who is matched with whom, and clients that
 //! never return stay apart from those that do.
 //!
-//! Clients that went away and never returned are estimated, only in [`Ledger::finish`]. Some of them would
-//! have ended in that time anyway: the mean absence over the mean lifetime. Each client beyond that part is
-//! assumed to have wanted its connection for another mean lifetime.
+//! The losses of clients that went away and never returned are estimated, only in [`Ledger::finish`]. Some of
+//! these clients would have ended in that time anyway: the mean absence over the mean lifetime. Each client
+//! beyond that part is assumed to have wanted its connection for another mean lifetime.
 
 use crate::curve::{Scale, TimeSeries};
 use hopmoor_record::{ArrivalKind, MemberId, Origin};
@@ -126,7 +126,7 @@
 
 /// Clients of a class that are connected to a member: their number since `since`, and their worth over time.
 #[derive(Clone, Debug, Default)]
-struct ConnectedCount {
+struct ConnectedClients {
     open: u32,
     since: f64,
     curve: TimeSeries,
@@ -151,7 +151,7 @@
     /// Clients that went away and did not return, by the time at which they went.
     unreturned: BTreeMap<(AbsenceKind, Cause, u32, u32), TimeSeries>,
     returns: BTreeMap<(AbsenceKind, u32), Returns>,
-    standing: BTreeMap<(MemberId, u32), ConnectedCount>,
+    connected_clients: BTreeMap<(MemberId, u32), ConnectedClients>,
     /// Total connected time of each class, and number of connections that ended in good order.
     connected_ms: BTreeMap<u32, (f64, u64)>,
     asked: TimeSeries,
@@ -172,7 +172,7 @@
     /// Worth-seconds asked for and lost by tenant, without losses while connected to a silent or slow member.
     pub by_tenant: Sums,
     /// Worth-seconds of connected clients over time, by member and class.
-    pub standing: BTreeMap<(MemberId, u32), TimeSeries>,
+    pub connected_clients: BTreeMap<(MemberId, u32), TimeSeries>,
 }
 
 impl Ledger {
@@ -186,7 +186,7 @@
             next_expiry_at: from,
             unreturned: BTreeMap::new(),
             returns: BTreeMap::new(),
-            standing: BTreeMap::new(),
+            connected_clients: BTreeMap::new(),
             connected_ms: BTreeMap::new(),
             asked: TimeSeries::default(),
             lost: BTreeMap::new(),
@@ -211,7 +211,7 @@
             self.asked.double_steps(doubled);
             self.lost.values_mut().for_each(|curve| curve.double_steps(doubled));
             self.unreturned.values_mut().for_each(|curve| curve.double_steps(doubled));
-            self.standing.values_mut().for_each(|standing| standing.curve.double_steps(doubled));
+            self.connected_clients.values_mut().for_each(|clients| clients.curve.double_steps(doubled));
         }
         doubled
     }
@@ -237,10 +237,10 @@
     /// Accounts for the connected clients up to `at`, then changes their number by `by`.
     fn change_connected(&mut self, member: MemberId, class: u32, at: f64, by: i32) {
         let rate = self.worth(class) / 1_000.0;
-        let standing = self.standing.entry((member, class)).or_default();
-        standing.curve.add_rate(&self.scale, standing.since, at, rate * f64::from(standing.open));
-        standing.open = standing.open.saturating_add_signed(by);
-        standing.since = at;
+        let clients = self.connected_clients.entry((member, class)).or_default();
+        clients.curve.add_rate(&self.scale, clients.since, at, rate * f64::from(clients.open));
+        clients.open = clients.open.saturating_add_signed(by);
+        clients.since = at;
     }
 
     /// Accounts for a demand up to `at`.
@@ -261,7 +261,7 @@
         at: f64,
         class: u32,
         tenant: u32,
-        coming: ArrivalKind,
+        arrival: ArrivalKind,
     ) {
         self.expire_absent(at);
         let mut demand = Demand {
@@ -273,20 +273,20 @@
             cause: Cause::SetUp,
             uncertain: false,
         };
-        let kind = match coming {
+        let kind = match arrival {
             ArrivalKind::First => None,
             ArrivalKind::Retry => Some(AbsenceKind::TurnedAway),
             ArrivalKind::Return => Some(AbsenceKind::Disconnected),
         };
         if let Some(kind) = kind
-            && let Some(away) = self.absent.get_mut(&(kind, class, tenant)).and_then(Vec::pop)
+            && let Some(client) = self.absent.get_mut(&(kind, class, tenant)).and_then(Vec::pop)
         {
             // The client has wanted a connection during its whole absence.
-            self.account(class, tenant, away.since, at, Some(away.cause));
-            demand.cause = away.cause;
+            self.account(class, tenant, client.since, at, Some(client.cause));
+            demand.cause = client.cause;
             let returns = self.returns.entry((kind, class)).or_default();
             returns.returned += 1;
-            returns.absence_ms += at - away.since;
+            returns.absence_ms += at - client.since;
         }
         self.demands.insert((origin, id), demand);
     }
@@ -336,8 +336,8 @@
             if demand.uncertain {
                 // This record confirms that the client was connected all the time.
                 let rate = self.worth(demand.class) / 1_000.0;
-                let standing = self.standing.entry((member, demand.class)).or_default();
-                standing.curve.add_rate(&self.scale, demand.settled_until, at, rate);
+                let clients = self.connected_clients.entry((member, demand.class)).or_default();
+                clients.curve.add_rate(&self.scale, demand.settled_until, at, rate);
             } else {
                 self.change_connected(member, demand.class, at, -1);
             }
@@ -385,13 +385,13 @@
         cause: Option<Cause>,
         excluded: bool,
     ) {
-        let away = AbsentClient { since: at, cause: cause.unwrap_or(demand.cause), excluded };
+        let client = AbsentClient { since: at, cause: cause.unwrap_or(demand.cause), excluded };
         if !excluded {
             self.returns.entry((kind, demand.class)).or_default().departed += 1;
         }
         let key = (kind, demand.class, demand.tenant);
         let all = self.absent.entry(key).or_default();
-        all.push(away);
+        all.push(client);
         if all.len() > MAX_ABSENT_CLIENTS {
             let first = all.remove(0);
             self.count_unreturned(key, first);
@@ -399,10 +399,10 @@
     }
 
     /// Counts a client that did not return, for the estimate in [`Ledger::finish`].
-    fn count_unreturned(&mut self, (kind, class, tenant): AbsenceKey, away: AbsentClient) {
-        if !away.excluded {
-            let curve = self.unreturned.entry((kind, away.cause, class, tenant)).or_default();
-            curve.add(&self.scale, away.since, 1.0);
+    fn count_unreturned(&mut self, (kind, class, tenant): AbsenceKey, client: AbsentClient) {
+        if !client.excluded {
+            let curve = self.unreturned.entry((kind, client.cause, class, tenant)).or_default();
+            curve.add(&self.scale, client.since, 1.0);
         }
     }
 
@@ -414,10 +414,10 @@
         self.next_expiry_at = at + MAX_ABSENCE_MS / 4.0;
         let mut old = Vec::new();
         for (key, all) in &mut self.absent {
-            let gone = all.partition_point(|away| at - away.since > MAX_ABSENCE_MS);
-            old.extend(all.drain(..gone).map(|away| (*key, away)));
+            let gone = all.partition_point(|client| at - client.since > MAX_ABSENCE_MS);
+            old.extend(all.drain(..gone).map(|client| (*key, client)));
         }
-        old.into_iter().for_each(|(key, away)| self.count_unreturned(key, away));
+        old.into_iter().for_each(|(key, client)| self.count_unreturned(key, client));
     }
 
     /// Records of a node were lost from `since` on: what its clients did from then on is not known.
@@ -443,7 +443,8 @@
         }
     }
 
-    /// A node's run is over: its clients are absent. Records of other nodes show whether they returned there.
+    /// A node's run is over: its clients are absent, and their further losses are not estimated. Records of
+    /// other nodes show whether they returned there.
     pub fn run_ended(&mut self, origin: Origin, at: f64, cause: Cause) {
         let ids: Vec<_> = self.demands.keys().filter(|(node, _)| *node == origin).copied().collect();
         for (origin, id) in ids {
@@ -469,11 +470,11 @@
         // until now.
         for (key, all) in std::mem::take(&mut self.absent) {
             let mean_absence_ms = self.returns.get(&(key.0, key.1)).copied().unwrap_or_default().mean();
-            for away in all.into_iter().filter(|away| !away.excluded) {
-                if at - away.since > 3.0 * mean_absence_ms {
-                    self.count_unreturned(key, away);
+            for client in all.into_iter().filter(|client| !client.excluded) {
+                if at - client.since > 3.0 * mean_absence_ms {
+                    self.count_unreturned(key, client);
                 } else {
-                    self.account(key.1, key.2, away.since, at, Some(away.cause));
+                    self.account(key.1, key.2, client.since, at, Some(client.cause));
                 }
             }
         }
@@ -512,9 +513,10 @@
                 sums.1 += lost;
             }
         }
-        let standing = self.standing.into_iter().map(|(key, standing)| (key, standing.curve)).collect();
+        let connected_clients =
+            self.connected_clients.into_iter().map(|(key, clients)| (key, clients.curve)).collect();
         let (by_class, by_tenant) = (self.by_class, self.by_tenant);
-        LedgerTotals { asked: self.asked, lost: self.lost, by_class, by_tenant, standing }
+        LedgerTotals { asked: self.asked, lost: self.lost, by_class, by_tenant, connected_clients }
     }
 }
 
--- a/crates/incident/src/wants/tests.rs
+++ b/crates/incident/src/wants/tests.rs
@@ -45,8 +45,8 @@
     ledger.ended(NODE, 1, 10_000.0);
     let totals = ledger.finish(20_000.0);
     assert!((totals.asked.sum() - 13.0).abs() < 0.01, "{}", totals.asked.sum());
-    let stood: f64 = totals.standing.values().map(TimeSeries::sum).sum();
-    assert!((stood - 13.0).abs() < 0.01, "{stood}");
+    let connected: f64 = totals.connected_clients.values().map(TimeSeries::sum).sum();
+    assert!((connected - 13.0).abs() < 0.01, "{connected}");
 }
 
 #[test]
--- a/crates/incident/tests/any_records.rs
+++ b/crates/incident/tests/any_records.rs
@@ -128,8 +128,8 @@
         b in proptest::collection::vec((0f64..900.0, event(), prop::bool::weighted(0.02)), 0..150),
     ) {
         let read = || {
-            let of = |items: Vec<Item>| Box::new(items.into_iter()) as Box<dyn Iterator<Item = Item>>;
-            Merged::of(vec![of(items("a", a.clone())), of(items("b", b.clone()))])
+            let reader = |items: Vec<Item>| Box::new(items.into_iter()) as Box<dyn Iterator<Item = Item>>;
+            Merged::of(vec![reader(items("a", a.clone())), reader(items("b", b.clone()))])
         };
         check(&analyse(read()));
         let mut board = Board::default();
