--- a/crates/incident/src/board.rs
+++ b/crates/incident/src/board.rs
@@ -246,18 +246,18 @@
     /// Names of the tenants and their figures, summed over the nodes.
     pub fn tenants(&self) -> Vec<(String, TenantUsage)> {
         let mut sums: BTreeMap<u32, TenantUsage> = BTreeMap::new();
-        for ((tenant, _), share) in &self.tenant_usage {
+        for ((tenant, _), usage) in &self.tenant_usage {
             let sum = sums.entry(*tenant).or_default();
-            sum.demand += share.demand;
-            sum.budget += share.budget;
-            sum.limit = sum.limit.saturating_add(share.limit);
-            sum.open += share.open;
-            sum.queued += share.queued;
+            sum.demand += usage.demand;
+            sum.budget += usage.budget;
+            sum.limit = sum.limit.saturating_add(usage.limit);
+            sum.open += usage.open;
+            sum.queued += usage.queued;
         }
         let name = |tenant: u32| {
             self.site.tenants.get(tenant as usize).cloned().unwrap_or_else(|| tenant.to_string())
         };
-        sums.into_iter().map(|(tenant, share)| (name(tenant), share)).collect()
+        sums.into_iter().map(|(tenant, usage)| (name(tenant), usage)).collect()
     }
 
     /// Members, ordered by name.
@@ -405,14 +405,14 @@
                 self.line(origin, at, "move", text, false);
             }
             Event::Tenant(tenant) => {
-                let share = TenantUsage {
+                let usage = TenantUsage {
                     demand: tenant.demand,
                     budget: tenant.budget,
                     limit: tenant.limit,
                     open: tenant.open,
                     queued: tenant.queued,
                 };
-                self.tenant_usage.insert((tenant.tenant, origin), share);
+                self.tenant_usage.insert((tenant.tenant, origin), usage);
             }
             Event::Counters(counters) => {
                 let node = &mut self.nodes[origin.0];
