--- a/crates/incident/src/wants.rs
+++ b/crates/incident/src/accounting.rs
@@ -15,7 +15,7 @@
 //! these clients would have ended in that time anyway: the mean absence over the mean lifetime. Each client
 //! beyond that part is assumed to have wanted its connection for another mean lifetime.
 
-use crate::curve::{Scale, TimeSeries};
+use crate::series::{Scale, TimeSeries};
 use hopmoor_record::{ArrivalKind, MemberId, Origin};
 use std::collections::BTreeMap;
 
@@ -129,7 +129,7 @@
 struct ConnectedClients {
     open: u32,
     since: f64,
-    curve: TimeSeries,
+    series: TimeSeries,
 }
 
 /// Worth-seconds lost over time, by cause and class.
@@ -209,9 +209,9 @@
         let doubled = self.scale.extend_to(at);
         if doubled > 0 {
             self.asked.double_steps(doubled);
-            self.lost.values_mut().for_each(|curve| curve.double_steps(doubled));
-            self.unreturned.values_mut().for_each(|curve| curve.double_steps(doubled));
-            self.connected_clients.values_mut().for_each(|clients| clients.curve.double_steps(doubled));
+            self.lost.values_mut().for_each(|series| series.double_steps(doubled));
+            self.unreturned.values_mut().for_each(|series| series.double_steps(doubled));
+            self.connected_clients.values_mut().for_each(|clients| clients.series.double_steps(doubled));
         }
         doubled
     }
@@ -238,7 +238,7 @@
     fn change_connected(&mut self, member: MemberId, class: u32, at: f64, by: i32) {
         let rate = self.worth(class) / 1_000.0;
         let clients = self.connected_clients.entry((member, class)).or_default();
-        clients.curve.add_rate(&self.scale, clients.since, at, rate * f64::from(clients.open));
+        clients.series.add_rate(&self.scale, clients.since, at, rate * f64::from(clients.open));
         clients.open = clients.open.saturating_add_signed(by);
         clients.since = at;
     }
@@ -337,7 +337,7 @@
                 // This record confirms that the client was connected all the time.
                 let rate = self.worth(demand.class) / 1_000.0;
                 let clients = self.connected_clients.entry((member, demand.class)).or_default();
-                clients.curve.add_rate(&self.scale, demand.settled_until, at, rate);
+                clients.series.add_rate(&self.scale, demand.settled_until, at, rate);
             } else {
                 self.change_connected(member, demand.class, at, -1);
             }
@@ -401,8 +401,8 @@
     /// Counts a client that did not return, for the estimate in [`Ledger::finish`].
     fn count_unreturned(&mut self, (kind, class, tenant): AbsenceKey, client: AbsentClient) {
         if !client.excluded {
-            let curve = self.unreturned.entry((kind, client.cause, class, tenant)).or_default();
-            curve.add(&self.scale, client.since, 1.0);
+            let series = self.unreturned.entry((kind, client.cause, class, tenant)).or_default();
+            series.add(&self.scale, client.since, 1.0);
         }
     }
 
@@ -478,7 +478,7 @@
                 }
             }
         }
-        for ((kind, cause, class, tenant), curve) in std::mem::take(&mut self.unreturned) {
+        for ((kind, cause, class, tenant), series) in std::mem::take(&mut self.unreturned) {
             let returns = self.returns.get(&(kind, class)).copied().unwrap_or_default();
             // Many went away and none returned: the protocol has no marks, so that nothing can be estimated.
             if returns.returned == 0 && returns.departed >= MIN_DEPARTURES_TO_JUDGE_MARKS {
@@ -500,7 +500,7 @@
             // The loss is spread from the time at which the clients went away over the mean loss per client,
             // but not beyond the last record.
             let mut lost = 0.0;
-            let steps = curve.values(crate::curve::MAX_STEPS, 1.0);
+            let steps = series.values(crate::series::MAX_STEPS, 1.0);
             for (index, count) in steps.iter().enumerate().filter(|(_, count)| **count > 0.0) {
                 let from = self.scale.from + index as f64 * self.scale.step_ms;
                 let (until, rate) = ((from + mean_loss_ms).min(at), f64::from(*count) * rate);
@@ -514,7 +514,7 @@
             }
         }
         let connected_clients =
-            self.connected_clients.into_iter().map(|(key, clients)| (key, clients.curve)).collect();
+            self.connected_clients.into_iter().map(|(key, clients)| (key, clients.series)).collect();
         let (by_class, by_tenant) = (self.by_class, self.by_tenant);
         LedgerTotals { asked: self.asked, lost: self.lost, by_class, by_tenant, connected_clients }
     }
--- a/crates/incident/src/analysis.rs
+++ b/crates/incident/src/analysis.rs
@@ -1,22 +1,22 @@
 //! Reads records in time order, updates the members' histories and the service ledger, and builds the
 //! findings.
 
-mod drawn;
+mod summary;
 
-use drawn::class_and_tenant_names;
-pub use drawn::in_order;
+use summary::class_and_tenant_names;
+pub use summary::natural_order;
 
-use crate::curve::{MAX_STEPS, Scale, TimeSeries};
+use crate::accounting::{self, Cause, Ledger, MemberCause};
+use crate::dead_peers::PeerDeaths;
 use crate::findings::{
-    Account, DataIssue, Findings, Gap, Incident, IncidentKind, Member, Node, Run, RunEnd, Service,
-    SiteSeries, Span, State, TenantSeries,
+    DataIssue, Findings, Gap, Incident, IncidentKind, Member, MemberState, Node, Run, RunEnd, Service,
+    ServiceTotals, SiteSeries, Span, TenantSeries,
 };
-use crate::fleet::PeerDeaths;
 use crate::member::MemberHistory;
-use crate::wants::{self, Cause, Ledger, MemberCause};
+use crate::series::{MAX_STEPS, Scale, TimeSeries};
 use hopmoor_record::codec::Site;
 use hopmoor_record::merge::Step;
-use hopmoor_record::{Answer, Damage, Event, Header, MemberId, Merged, Origin, Outcome, Reason, Record};
+use hopmoor_record::{Answer, Damage, Event, Header, MemberId, Merged, MoveReason, Origin, Outcome, Record};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -196,7 +196,7 @@
                     self.ledger.records_lost(origin, at);
                 }
             }
-            Step::Shifted(by) => {
+            Step::ClockShifted(by) => {
                 let what = format!(
                     "its clock reads {:.1} s earlier than before; what follows is shown so much later",
                     by / 1_000.0
@@ -204,8 +204,8 @@
                 self.add_issue(origin, at, what);
             }
             // If the node ran again, a later step changes the end of this run to `RunEnd::Cut`.
-            Step::Over => self.run_ended(origin, at, RunEnd::RecordsEnd),
-            Step::End => {}
+            Step::RunEnded => self.run_ended(origin, at, RunEnd::RecordsEnd),
+            Step::FolderEnded => {}
         }
     }
 
@@ -266,7 +266,7 @@
             let mut curves: Vec<&mut TimeSeries> = vec![&mut self.arrivals, &mut self.moved];
             curves.extend(self.turned_away.values_mut());
             curves.extend(self.budgets.values_mut().flatten());
-            curves.into_iter().for_each(|curve| curve.double_steps(doubled));
+            curves.into_iter().for_each(|series| series.double_steps(doubled));
         }
         let scale = self.ledger.scale;
         let source = self.source(origin);
@@ -326,12 +326,12 @@
                     self.tenants.entry(tenant).or_default().moved += 1;
                 }
                 let cause = match moved.reason {
-                    Reason::Draining | Reason::Member | Reason::Negotiation => {
+                    MoveReason::Draining | MoveReason::Member | MoveReason::Negotiation => {
                         Cause::Member(moved.member, MemberCause::Drained)
                     }
-                    Reason::Gone => Cause::Member(moved.member, MemberCause::Gone),
-                    Reason::Relief => Cause::Member(moved.member, MemberCause::Relief),
-                    Reason::Leaving => Cause::NodeLeft(origin),
+                    MoveReason::Gone => Cause::Member(moved.member, MemberCause::Gone),
+                    MoveReason::Relief => Cause::Member(moved.member, MemberCause::Relief),
+                    MoveReason::Leaving => Cause::NodeLeft(origin),
                 };
                 self.ledger.went_away(origin, moved.transaction, at, Some(cause));
             }
@@ -340,8 +340,8 @@
                 let last = source.tenant_samples.insert(tenant.tenant, sample);
                 if let Some((since, budget, open, queued)) = last {
                     let curves = self.budgets.entry(tenant.tenant).or_default();
-                    for (curve, value) in curves.iter_mut().zip([budget, open, queued]) {
-                        curve.add_rate(&scale, since, at, value);
+                    for (series, value) in curves.iter_mut().zip([budget, open, queued]) {
+                        series.add_rate(&scale, since, at, value);
                     }
                 }
             }
--- a/crates/incident/src/analysis/drawn.rs
+++ b/crates/incident/src/analysis/summary.rs
@@ -31,29 +31,30 @@
     /// Counts the time that clients were connected to a silent or slow member as lost service.
     ///
     /// Slowness affects only the classes whose message time target was missed.
-    pub(super) fn add_losses_at_members(&self, scale: &Scale, totals: &mut wants::LedgerTotals) {
+    pub(super) fn add_losses_at_members(&self, scale: &Scale, totals: &mut accounting::LedgerTotals) {
         for (id, history) in &self.members {
             let mut slow_means_ms = history.slow_span_means_ms.iter();
             let mut covered: Vec<(f64, f64)> = Vec::new();
             for span in history.spans() {
                 let (cause, message_ms) = match span.state {
-                    State::Silent => (MemberCause::Silent, f64::INFINITY),
-                    State::Slow => {
+                    MemberState::Silent => (MemberCause::Silent, f64::INFINITY),
+                    MemberState::Slow => {
                         (MemberCause::Slow, slow_means_ms.next().copied().unwrap_or(f64::INFINITY))
                     }
                     _ => continue,
                 };
                 let until = span.until.unwrap_or(self.until);
                 for (index, class) in self.site.classes.iter().enumerate() {
-                    let affected = span.state == State::Silent
+                    let affected = span.state == MemberState::Silent
                         || class.message_aim_ms > 0.0 && message_ms > class.message_aim_ms;
-                    let Some(curve) = totals.connected_clients.get(&(*id, index as u32)).filter(|_| affected)
+                    let Some(series) =
+                        totals.connected_clients.get(&(*id, index as u32)).filter(|_| affected)
                     else {
                         continue;
                     };
                     // Time in which the member was both silent and slow counts once, for the earlier span.
                     for (from, until) in uncovered(&covered, span.from, until) {
-                        let worth = curve.sum_between(scale, from, until);
+                        let worth = series.sum_between(scale, from, until);
                         let rate = worth / (until - from).max(1e-9);
                         let key = (Cause::Member(*id, cause), index as u32);
                         totals.lost.entry(key).or_default().add_rate(scale, from, until, rate);
@@ -95,7 +96,7 @@
             by_class: Vec::new(),
         };
         for (id, history) in &self.members {
-            for span in history.spans().iter().filter(|span| span.state != State::Avoided) {
+            for span in history.spans().iter().filter(|span| span.state != MemberState::Avoided) {
                 let cause = describe(&history.name, span, self.until);
                 let kind = IncidentKind::Member(span.state);
                 all.push((
@@ -192,13 +193,13 @@
         &self,
         scale: &Scale,
         incidents: &mut [(Option<MemberId>, Option<Origin>, Incident)],
-        totals: &mut wants::LedgerTotals,
+        totals: &mut accounting::LedgerTotals,
     ) -> f64 {
         let classes = self.site.classes.len();
         incidents.iter_mut().for_each(|(_, _, incident)| incident.by_class = vec![0.0; classes]);
         let mut unexplained = 0.0;
-        for ((cause, class), curve) in &totals.lost {
-            let mut unattributed = curve.values(MAX_STEPS, 1.0);
+        for ((cause, class), series) in &totals.lost {
+            let mut unattributed = series.values(MAX_STEPS, 1.0);
             for kind in kinds_for(*cause) {
                 for (member, origin, incident) in incidents.iter_mut() {
                     let matches_cause = incident.kind == *kind
@@ -237,7 +238,7 @@
         self,
         scale: &Scale,
         incidents: Vec<(Option<MemberId>, Option<Origin>, Incident)>,
-        totals: wants::LedgerTotals,
+        totals: accounting::LedgerTotals,
         unexplained: f64,
     ) -> Findings {
         let steps = (((self.until - self.from) / scale.step_ms).ceil() as usize).clamp(1, MAX_STEPS);
@@ -245,12 +246,12 @@
         let asked_sum = totals.asked.sum();
         let mut lost_all = vec![0.0f64; steps];
         let mut at_member: BTreeMap<MemberId, f64> = BTreeMap::new();
-        for ((cause, _), curve) in &totals.lost {
-            for (sum, value) in lost_all.iter_mut().zip(curve.values(steps, 1.0)) {
+        for ((cause, _), series) in &totals.lost {
+            for (sum, value) in lost_all.iter_mut().zip(series.values(steps, 1.0)) {
                 *sum += f64::from(value);
             }
             if let Cause::Member(id, _) = cause {
-                *at_member.entry(*id).or_default() += curve.sum();
+                *at_member.entry(*id).or_default() += series.sum();
             }
         }
         let asked = totals.asked.values(steps, per_second);
@@ -267,9 +268,9 @@
         };
         let members = self.members.iter().map(|(id, history)| {
             let mut standing = TimeSeries::default();
-            for ((member, _), curve) in totals.connected_clients.range((*id, 0)..=(*id, u32::MAX)) {
+            for ((member, _), series) in totals.connected_clients.range((*id, 0)..=(*id, u32::MAX)) {
                 debug_assert_eq!(member, id);
-                for (index, value) in curve.values(steps, per_second).iter().enumerate() {
+                for (index, value) in series.values(steps, per_second).iter().enumerate() {
                     standing.add(scale, scale.from + (index as f64 + 0.5) * scale.step_ms, f64::from(*value));
                 }
             }
@@ -285,9 +286,9 @@
             }
         });
         let mut members: Vec<Member> = members.collect();
-        members.sort_by(|a, b| in_order(&a.name, &b.name));
+        members.sort_by(|a, b| natural_order(&a.name, &b.name));
         let rows = |counts: &BTreeMap<u32, Counts>,
-                    sums: &wants::Sums,
+                    sums: &accounting::Sums,
                     name_of: &dyn Fn(u32) -> String,
                     configured: usize| {
             let row_count =
@@ -296,7 +297,7 @@
                 let index = index as u32;
                 let counts = counts.get(&index).cloned().unwrap_or_default();
                 let (asked, lost) = sums.get(&index).copied().unwrap_or_default();
-                Account {
+                ServiceTotals {
                     name: name_of(index),
                     transactions: counts.transactions,
                     served: counts.served,
@@ -321,7 +322,7 @@
             self.site.tenants.len(),
         );
         let budgets = self.budgets.iter().map(|(tenant, [budget, open, queued])| {
-            let mean = |curve: &TimeSeries| curve.values(steps, 1.0 / scale.step_ms);
+            let mean = |series: &TimeSeries| series.values(steps, 1.0 / scale.step_ms);
             TenantSeries {
                 name: self.tenant_name(*tenant),
                 budget: mean(budget),
@@ -331,7 +332,7 @@
         });
         let turned_away =
             (0..self.site.classes.len() as u32).map(|class| match self.turned_away.get(&class) {
-                Some(curve) => curve.values(steps, 1.0),
+                Some(series) => series.values(steps, 1.0),
                 None => vec![0.0; steps],
             });
         let curves = SiteSeries {
@@ -392,7 +393,7 @@
 /// Kinds of incident that can explain a loss with this cause, the most likely first.
 fn kinds_for(cause: Cause) -> &'static [IncidentKind] {
     use IncidentKind::{Member, NoRoom, NodeCut, NodeLeft};
-    use State::{Dead, Draining, Gone, Refusing, Silent, Slow};
+    use MemberState::{Dead, Draining, Gone, Refusing, Silent, Slow};
     match cause {
         Cause::SetUp => &[],
         Cause::Capacity => &[NoRoom],
@@ -431,23 +432,27 @@
     };
     let evidence = span.evidence;
     match span.state {
-        State::Silent => {
+        MemberState::Silent => {
             format!("member {name} was sent work and answered nothing, {duration} (seen {evidence} times)")
         }
-        State::Dead => {
+        MemberState::Dead => {
             format!("member {name} broke off or could not be reached, {duration} (seen {evidence} times)")
         }
-        State::Refusing => format!("member {name} turned work away, {duration} (seen {evidence} times)"),
-        State::Slow => format!("messages at member {name} were late, {duration} (told {evidence} times)"),
-        State::Draining => format!("member {name} was draining, {duration}"),
-        State::Gone => format!("member {name} was not listed, {duration}"),
-        State::Cold => format!("member {name} had just started, {duration}"),
-        State::Avoided => format!("member {name} was avoided, {duration}"),
+        MemberState::Refusing => {
+            format!("member {name} turned work away, {duration} (seen {evidence} times)")
+        }
+        MemberState::Slow => {
+            format!("messages at member {name} were late, {duration} (told {evidence} times)")
+        }
+        MemberState::Draining => format!("member {name} was draining, {duration}"),
+        MemberState::Gone => format!("member {name} was not listed, {duration}"),
+        MemberState::Cold => format!("member {name} had just started, {duration}"),
+        MemberState::Avoided => format!("member {name} was avoided, {duration}"),
     }
 }
 
 /// Compares names so that those with the same stem are ordered by the number at their end.
-pub fn in_order(a: &str, b: &str) -> std::cmp::Ordering {
+pub fn natural_order(a: &str, b: &str) -> std::cmp::Ordering {
     let key = |name: &str| {
         let digits = name.len() - name.trim_end_matches(|c: char| c.is_ascii_digit()).len();
         let (stem, number) = name.split_at(name.len() - digits);
--- a/crates/incident/src/board.rs
+++ b/crates/incident/src/dashboard.rs
@@ -1,10 +1,10 @@
 //! Current state of a site, as the console shows it. Takes the same steps as the analysis.
 
-use crate::findings::State;
+use crate::findings::MemberState;
 use crate::member::MemberHistory;
 use hopmoor_record::codec::Site;
 use hopmoor_record::merge::Step;
-use hopmoor_record::{Answer, Event, MemberId, NeighbourState, Origin, Outcome, Phase, Reason, Record};
+use hopmoor_record::{Answer, Event, MemberId, MoveReason, NeighbourState, Origin, Outcome, Phase, Record};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Maximum number of event lines kept; older ones are dropped.
@@ -14,7 +14,7 @@
 
 /// Outcomes at a member within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Second {
+pub struct SecondCounts {
     /// Attempts served.
     pub served: u16,
     /// Attempts that failed, and connections that broke.
@@ -50,7 +50,7 @@
     /// Latest view of each node.
     pub seen: BTreeMap<Origin, NodeView>,
     /// Outcome counts of the last `HISTORY_SECONDS` seconds up to `newest_second`, the newest last.
-    pub seconds: VecDeque<Second>,
+    pub seconds: VecDeque<SecondCounts>,
     /// Unix time in seconds of the newest entry of `seconds`.
     newest_second: f64,
 }
@@ -58,11 +58,17 @@
 impl Row {
     /// State to show: that of the member list if it is draining or gone, else the most severe one observed.
     pub fn state(&self) -> &'static str {
-        let by_severity =
-            [State::Dead, State::Silent, State::Refusing, State::Slow, State::Cold, State::Avoided];
+        let by_severity = [
+            MemberState::Dead,
+            MemberState::Silent,
+            MemberState::Refusing,
+            MemberState::Slow,
+            MemberState::Cold,
+            MemberState::Avoided,
+        ];
         match self.phase {
             Some(Phase::Gone) => "gone",
-            Some(Phase::Draining) if self.history.is_in(State::Silent) => "silent, draining",
+            Some(Phase::Draining) if self.history.is_in(MemberState::Silent) => "silent, draining",
             Some(Phase::Draining) => "draining",
             _ => by_severity
                 .iter()
@@ -83,17 +89,17 @@
     }
 
     /// Outcome counts of at most `count` seconds up to `now`, the newest last.
-    pub fn recent(&self, now: f64, count: usize) -> Vec<Second> {
+    pub fn recent(&self, now: f64, count: usize) -> Vec<SecondCounts> {
         let elapsed =
             ((now / 1_000.0).floor() - self.newest_second).clamp(0.0, HISTORY_SECONDS as f64) as usize;
         let elapsed = if self.seconds.is_empty() { 0 } else { elapsed };
-        let all = self.seconds.iter().copied().chain(std::iter::repeat_n(Second::default(), elapsed));
+        let all = self.seconds.iter().copied().chain(std::iter::repeat_n(SecondCounts::default(), elapsed));
         let skip = (self.seconds.len() + elapsed).saturating_sub(count);
         all.skip(skip).collect()
     }
 
     /// Outcome counts of the second of `at`, or of the newest second if `at` is earlier.
-    fn second_at(&mut self, at: f64) -> &mut Second {
+    fn second_at(&mut self, at: f64) -> &mut SecondCounts {
         let second = (at / 1_000.0).floor();
         let elapsed = if self.seconds.is_empty() {
             1.0
@@ -101,14 +107,14 @@
             (second - self.newest_second).clamp(0.0, HISTORY_SECONDS as f64)
         };
         for _ in 0..elapsed as usize {
-            self.seconds.push_back(Second::default());
+            self.seconds.push_back(SecondCounts::default());
             if self.seconds.len() > HISTORY_SECONDS {
                 self.seconds.pop_front();
             }
         }
         self.newest_second = self.newest_second.max(second);
         if self.seconds.is_empty() {
-            self.seconds.push_back(Second::default());
+            self.seconds.push_back(SecondCounts::default());
         }
         let last = self.seconds.len() - 1;
         &mut self.seconds[last]
@@ -132,7 +138,7 @@
 
 /// A line in the list of events.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct EventLine {
     /// Time of the event.
     pub at: f64,
     /// Name of the node that recorded it.
@@ -161,7 +167,7 @@
 
 /// Current state of a site: its nodes, members, tenants and latest events.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Dashboard {
     /// Time of the newest step.
     pub now: f64,
     /// Classes, tenants and zones, from the newest header.
@@ -171,7 +177,7 @@
     /// Members, by id.
     pub members: BTreeMap<MemberId, Row>,
     /// Events, oldest first.
-    pub lines: VecDeque<Line>,
+    pub lines: VecDeque<EventLine>,
     tenant_usage: BTreeMap<(u32, Origin), TenantUsage>,
     /// The shortest message time target of all classes; infinite if no class has one, and 0 before the
     /// first header.
@@ -180,7 +186,7 @@
     recent_answers: VecDeque<(f64, f64, f64)>,
 }
 
-impl Board {
+impl Dashboard {
     /// Processes one step of the merged records.
     pub fn feed(&mut self, origin: Origin, at: f64, step: &Step) {
         if self.nodes.len() <= origin.0 {
@@ -210,11 +216,11 @@
                     path.file_name().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
                 self.line(origin, at, "doubt", format!("{file}: {damage}"), true);
             }
-            Step::Shifted(by) => {
+            Step::ClockShifted(by) => {
                 let text = format!("clock set back by {:.1} s", by / 1_000.0);
                 self.line(origin, at, "doubt", text, true);
             }
-            Step::Over | Step::End => {}
+            Step::RunEnded | Step::FolderEnded => {}
         }
         self.now = self.now.max(at);
     }
@@ -230,7 +236,7 @@
 
     fn line(&mut self, origin: Origin, at: f64, kind: &'static str, text: String, bad: bool) {
         let node = self.nodes.get(origin.0).map_or_else(String::new, |node| node.name.clone());
-        self.lines.push_back(Line { at, node, kind, text, bad });
+        self.lines.push_back(EventLine { at, node, kind, text, bad });
         if self.lines.len() > MAX_EVENT_LINES {
             self.lines.pop_front();
         }
@@ -263,7 +269,7 @@
     /// Members, ordered by name.
     pub fn rows(&self) -> Vec<&Row> {
         let mut rows: Vec<&Row> = self.members.values().collect();
-        rows.sort_by(|a, b| crate::analysis::in_order(&a.name, &b.name));
+        rows.sort_by(|a, b| crate::analysis::natural_order(&a.name, &b.name));
         rows
     }
 
@@ -394,12 +400,12 @@
             }
             Event::Moved(moved) => {
                 let why = match moved.reason {
-                    Reason::Draining => "it drains",
-                    Reason::Gone => "it is gone",
-                    Reason::Leaving => "the node leaves",
-                    Reason::Relief => "for relief",
-                    Reason::Member => "by the member itself",
-                    Reason::Negotiation => "before it stood",
+                    MoveReason::Draining => "it drains",
+                    MoveReason::Gone => "it is gone",
+                    MoveReason::Leaving => "the node leaves",
+                    MoveReason::Relief => "for relief",
+                    MoveReason::Member => "by the member itself",
+                    MoveReason::Negotiation => "before it stood",
                 };
                 let text = format!("client moved from {}: {why}", self.member_name(moved.member));
                 self.line(origin, at, "move", text, false);
--- a/crates/incident/src/findings.rs
+++ b/crates/incident/src/findings.rs
@@ -17,9 +17,9 @@
     /// Service asked for, served and lost in total.
     pub service: Service,
     /// Transactions and service of each class.
-    pub classes: Vec<Account>,
+    pub classes: Vec<ServiceTotals>,
     /// Transactions and service of each tenant.
-    pub tenants: Vec<Account>,
+    pub tenants: Vec<ServiceTotals>,
     /// Budget and use of each tenant over time, summed over the nodes.
     pub budgets: Vec<TenantSeries>,
     /// Nodes, in the order in which their records were given.
@@ -51,7 +51,7 @@
 
 /// Transactions and service of a class or tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Account {
+pub struct ServiceTotals {
     /// Name of the class or tenant.
     pub name: String,
     /// Transactions that arrived.
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Span {
     /// State that the member was in.
-    pub state: State,
+    pub state: MemberState,
     /// Start of the period.
     pub from: f64,
     /// End of the period; none if it lasts beyond the records.
@@ -180,7 +180,7 @@
 /// Observed state of a member other than normal service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum MemberState {
     /// The member was sent attempts or probes and answered none.
     Silent,
     /// The member's process ended: several connections broke at about the same time, or none can be made.
@@ -199,24 +199,24 @@
     Avoided,
 }
 
-impl State {
+impl MemberState {
     /// Name of the state in reports.
     pub fn word(self) -> &'static str {
         match self {
-            State::Silent => "silent",
-            State::Dead => "dead",
-            State::Refusing => "refusing",
-            State::Slow => "slow",
-            State::Draining => "draining",
-            State::Gone => "gone",
-            State::Cold => "cold",
-            State::Avoided => "avoided",
+            MemberState::Silent => "silent",
+            MemberState::Dead => "dead",
+            MemberState::Refusing => "refusing",
+            MemberState::Slow => "slow",
+            MemberState::Draining => "draining",
+            MemberState::Gone => "gone",
+            MemberState::Cold => "cold",
+            MemberState::Avoided => "avoided",
         }
     }
 
     /// Whether the state is a fault rather than part of normal operation.
-    pub fn is_trouble(self) -> bool {
-        matches!(self, State::Silent | State::Dead | State::Refusing | State::Slow)
+    pub fn is_fault(self) -> bool {
+        matches!(self, MemberState::Silent | MemberState::Dead | MemberState::Refusing | MemberState::Slow)
     }
 }
 
@@ -248,7 +248,7 @@
 #[serde(rename_all = "snake_case", tag = "kind", content = "state")]
 pub enum IncidentKind {
     /// A member was in this state.
-    Member(State),
+    Member(MemberState),
     /// A node was told to shut down.
     NodeLeft,
     /// A node's records end without a shutdown.
--- a/crates/incident/src/lib.rs
+++ b/crates/incident/src/lib.rs
@@ -4,22 +4,22 @@
 //! `docs/records.md` defines the terms, above all the share of service lost.
 //!
 //! - [`member`]: states of a member, inferred from what the nodes observed.
-//! - [`wants`]: accounts for the time in which clients wanted a connection, and for the part of it that was
+//! - [`accounting`]: accounts for the time in which clients wanted a connection, and for the part of it that was
 //!   lost.
-//! - [`curve`]: time series with bounded memory.
-//! - `fleet`: periods in which a node was held dead by other nodes.
-//! - [`board`]: current state of a site, for the console.
+//! - [`series`]: time series with bounded memory.
+//! - `dead_peers`: periods in which a node was held dead by other nodes.
+//! - [`dashboard`]: current state of a site, for the console.
 //! - [`analysis`]: reads all records and builds the findings.
 
+pub mod accounting;
 pub mod analysis;
-pub mod board;
-pub mod curve;
+pub mod dashboard;
 pub mod member;
-pub mod wants;
+pub mod series;
 
+mod dead_peers;
 mod findings;
-mod fleet;
 
 pub use analysis::{Analysis, analyse};
-pub use board::Board;
+pub use dashboard::Dashboard;
 pub use findings::*;
--- a/crates/incident/src/member.rs
+++ b/crates/incident/src/member.rs
@@ -14,7 +14,7 @@
 //! - *cold*: from the start of the member's process until a node considers it warm.
 //! - *avoided*: while any node sends it nothing new because of failures.
 
-use crate::findings::{Span, State};
+use crate::findings::{MemberState, Span};
 use hopmoor_record::{Origin, Outcome, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -83,7 +83,7 @@
     /// Message times above the target since the last one within it.
     slow_reports: Evidence,
     slow_ms_sum: f64,
-    /// Mean message time in each span of [`State::Slow`], in the order of the spans.
+    /// Mean message time in each span of [`MemberState::Slow`], in the order of the spans.
     pub slow_span_means_ms: Vec<f64>,
     /// Time of the last message time report.
     message_time_at: f64,
@@ -106,12 +106,12 @@
     }
 
     /// Whether the member is in a state at present.
-    pub fn is_in(&self, state: State) -> bool {
+    pub fn is_in(&self, state: MemberState) -> bool {
         self.spans.iter().rev().any(|span| span.state == state && span.until.is_none())
     }
 
     /// Opens a span, or raises the evidence of the one that is open already.
-    fn open(&mut self, state: State, from: f64, evidence: u64) {
+    fn open(&mut self, state: MemberState, from: f64, evidence: u64) {
         if let Some(open) =
             self.spans.iter_mut().rev().find(|span| span.state == state && span.until.is_none())
         {
@@ -128,7 +128,7 @@
     }
 
     /// Closes the open span of a state, if there is one.
-    fn close(&mut self, state: State, at: f64) {
+    fn close(&mut self, state: MemberState, at: f64) {
         if let Some(open) =
             self.spans.iter_mut().rev().find(|span| span.state == state && span.until.is_none())
         {
@@ -139,7 +139,7 @@
     /// A new process has replaced the member's old one, or the member is gone: closes the states of the old
     /// process.
     fn process_replaced(&mut self, at: f64) {
-        for state in [State::Silent, State::Dead, State::Refusing, State::Slow] {
+        for state in [MemberState::Silent, MemberState::Dead, MemberState::Refusing, MemberState::Slow] {
             self.close(state, at);
         }
         (self.timeouts, self.breaks, self.refusals, self.slow_reports) = Default::default();
@@ -174,7 +174,7 @@
             }
             self.process_start = process_start;
             self.process_replaced(started);
-            for state in [State::Draining, State::Gone] {
+            for state in [MemberState::Draining, MemberState::Gone] {
                 self.close(state, started);
             }
             self.phase = Some(phase);
@@ -183,7 +183,7 @@
         if self.phase.is_none() {
             (self.phase, self.process_start) = (Some(phase), process_start);
             if phase == Phase::Draining {
-                self.open(State::Draining, at, 1);
+                self.open(MemberState::Draining, at, 1);
             }
             return;
         }
@@ -194,16 +194,16 @@
             // A node that has just started may still use an older member list.
             Phase::Serving if known_phase.is_none() => return,
             Phase::Serving => {
-                self.close(State::Draining, at);
-                self.close(State::Gone, at);
+                self.close(MemberState::Draining, at);
+                self.close(MemberState::Gone, at);
             }
             Phase::Draining if self.phase == Some(Phase::Gone) => return,
-            Phase::Draining => self.open(State::Draining, at, 1),
+            Phase::Draining => self.open(MemberState::Draining, at, 1),
             Phase::Gone => {
                 self.process_replaced(at);
-                self.close(State::Draining, at);
-                self.close(State::Cold, at);
-                self.open(State::Gone, at, 1);
+                self.close(MemberState::Draining, at);
+                self.close(MemberState::Cold, at);
+                self.open(MemberState::Gone, at, 1);
             }
         }
         self.phase = Some(phase);
@@ -217,8 +217,8 @@
 
     /// The member answered, whatever the answer.
     pub fn answered(&mut self, at: f64) {
-        self.close(State::Silent, at);
-        self.close(State::Dead, at);
+        self.close(MemberState::Silent, at);
+        self.close(MemberState::Dead, at);
         (self.timeouts, self.breaks) = Default::default();
         self.answered_at = at;
     }
@@ -228,7 +228,7 @@
         self.answered(at);
         // The member recovered at some time between the last refusal and this answer: the middle is the best
         // estimate.
-        self.close(State::Refusing, (self.refusals.last + at) / 2.0);
+        self.close(MemberState::Refusing, (self.refusals.last + at) / 2.0);
         self.refusals = Evidence::default();
         self.attempts += 1;
         self.served += 1;
@@ -240,7 +240,7 @@
         let count = self.timeouts.add(since, at, f64::INFINITY);
         if count >= 2 && self.phase != Some(Phase::Gone) {
             let from = self.timeouts.since;
-            self.open(State::Silent, from, count);
+            self.open(MemberState::Silent, from, count);
         }
     }
 
@@ -250,7 +250,7 @@
         // At the end of a drain the remaining connections break, which is no sign of a failure.
         if count >= 2 && self.phase == Some(Phase::Serving) {
             let from = self.breaks.since;
-            self.open(State::Dead, from, count);
+            self.open(MemberState::Dead, from, count);
         }
     }
 
@@ -264,9 +264,9 @@
             (Outcome::Full | Outcome::Error, _) => {
                 self.answered(at);
                 let count = self.refusals.add(at, at, REFUSED_WINDOW_MS);
-                if count >= 3 || self.is_in(State::Refusing) {
+                if count >= 3 || self.is_in(MemberState::Refusing) {
                     let from = self.refusals.since;
-                    self.open(State::Refusing, from, count);
+                    self.open(MemberState::Refusing, from, count);
                 }
             }
             (Outcome::Ok, false) => self.answered(at),
@@ -299,7 +299,7 @@
         }
         self.message_time_at = at;
         if took_ms <= target_ms {
-            self.close(State::Slow, at);
+            self.close(MemberState::Slow, at);
             (self.slow_reports, self.slow_ms_sum) = Default::default();
             return;
         }
@@ -307,10 +307,10 @@
         self.slow_ms_sum += took_ms;
         if count >= 2 {
             let (from, mean) = (self.slow_reports.since, self.slow_ms_sum / count as f64);
-            if !self.is_in(State::Slow) {
+            if !self.is_in(MemberState::Slow) {
                 self.slow_span_means_ms.push(mean);
             }
-            self.open(State::Slow, from, count);
+            self.open(MemberState::Slow, from, count);
             if let Some(last) = self.slow_span_means_ms.last_mut() {
                 *last = mean;
             }
@@ -321,22 +321,22 @@
     pub fn viewed(&mut self, origin: Origin, at: f64, warmth: f64, avoided: bool) {
         self.set_avoided(origin, at, avoided);
         if warmth >= 0.99 {
-            self.close(State::Cold, at);
+            self.close(MemberState::Cold, at);
         } else if self.phase == Some(Phase::Serving)
             && let Some(process_start) =
                 self.process_start.filter(|start| (at - start).abs() < MAX_START_AGE_MS)
-            && !self.spans.iter().any(|span| span.state == State::Cold && span.from == process_start)
+            && !self.spans.iter().any(|span| span.state == MemberState::Cold && span.from == process_start)
         {
-            self.open(State::Cold, process_start, 1);
+            self.open(MemberState::Cold, process_start, 1);
         }
     }
 
     fn set_avoided(&mut self, origin: Origin, at: f64, avoided: bool) {
         if avoided {
             self.avoided_by.insert(origin);
-            self.open(State::Avoided, at, 1);
+            self.open(MemberState::Avoided, at, 1);
         } else if self.avoided_by.remove(&origin) && self.avoided_by.is_empty() {
-            self.close(State::Avoided, at);
+            self.close(MemberState::Avoided, at);
         }
     }
 
--- a/crates/incident/src/member/tests.rs
+++ b/crates/incident/src/member/tests.rs
@@ -9,7 +9,7 @@
     history
 }
 
-fn spans(history: &MemberHistory) -> Vec<(State, f64, Option<f64>)> {
+fn spans(history: &MemberHistory) -> Vec<(MemberState, f64, Option<f64>)> {
     history.spans().iter().map(|span| (span.state, span.from, span.until)).collect()
 }
 
@@ -22,7 +22,7 @@
     assert_eq!(spans(&history), []);
     history.flow_ended(5_200.0, Outcome::TimedOut, false, 700.0);
     history.probe_ended(8_000.0, Outcome::Ok, Some(0.5));
-    assert_eq!(spans(&history), [(State::Silent, 4_300.0, Some(8_000.0))]);
+    assert_eq!(spans(&history), [(MemberState::Silent, 4_300.0, Some(8_000.0))]);
 }
 
 #[test]
@@ -31,7 +31,7 @@
     history.served(4_900.0);
     history.flow_ended(5_000.0, Outcome::TimedOut, false, 700.0);
     history.flow_ended(5_200.0, Outcome::TimedOut, false, 700.0);
-    assert_eq!(spans(&history), [(State::Silent, 4_900.0, None)]);
+    assert_eq!(spans(&history), [(MemberState::Silent, 4_900.0, None)]);
 }
 
 #[test]
@@ -40,13 +40,16 @@
     history.listed(NODE, 2_000.0, Phase::Draining, None, false);
     (0..9).for_each(|_| history.flow_ended(7_000.0, Outcome::Reset, true, 100.0));
     history.listed(NODE, 7_200.0, Phase::Gone, None, false);
-    assert_eq!(spans(&history), [(State::Draining, 2_000.0, Some(7_200.0)), (State::Gone, 7_200.0, None)]);
+    assert_eq!(
+        spans(&history),
+        [(MemberState::Draining, 2_000.0, Some(7_200.0)), (MemberState::Gone, 7_200.0, None)]
+    );
     let mut other = self::history();
     other.flow_ended(7_000.0, Outcome::Reset, true, 100.0);
     other.flow_ended(9_000.0, Outcome::Reset, true, 100.0);
     assert_eq!(spans(&other), [], "two broken connections, far apart");
     other.flow_ended(9_100.0, Outcome::Reset, true, 100.0);
-    assert_eq!(spans(&other), [(State::Dead, 9_000.0, None)]);
+    assert_eq!(spans(&other), [(MemberState::Dead, 9_000.0, None)]);
 }
 
 #[test]
@@ -60,10 +63,10 @@
     history.viewed(NODE, 20_500.0, 0.2, false);
     history.viewed(NODE, 29_500.0, 1.0, false);
     let wanted = [
-        (State::Silent, 4_300.0, Some(9_000.0)),
-        (State::Draining, 6_000.0, Some(9_000.0)),
-        (State::Gone, 9_000.0, Some(19_500.0)),
-        (State::Cold, 19_500.0, Some(29_500.0)),
+        (MemberState::Silent, 4_300.0, Some(9_000.0)),
+        (MemberState::Draining, 6_000.0, Some(9_000.0)),
+        (MemberState::Gone, 9_000.0, Some(19_500.0)),
+        (MemberState::Cold, 19_500.0, Some(29_500.0)),
     ];
     assert_eq!(spans(&history), wanted);
 }
@@ -73,8 +76,8 @@
     let mut history = history();
     history.listed(NODE, 2_000.0, Phase::Draining, None, false);
     history.listed(Origin(1), 2_500.0, Phase::Serving, None, false);
-    assert_eq!(spans(&history), [(State::Draining, 2_000.0, None)]);
+    assert_eq!(spans(&history), [(MemberState::Draining, 2_000.0, None)]);
     history.listed(Origin(1), 2_700.0, Phase::Draining, None, false);
     history.listed(NODE, 9_000.0, Phase::Serving, None, false);
-    assert_eq!(spans(&history), [(State::Draining, 2_000.0, Some(9_000.0))]);
+    assert_eq!(spans(&history), [(MemberState::Draining, 2_000.0, Some(9_000.0))]);
 }
