--- a/crates/incident/src/accounting/tests.rs
+++ b/crates/incident/src/accounting/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn time_after_a_node_s_records_end_is_neither_asked_nor_lost() {
+fn time_after_the_last_record_of_a_node_is_neither_asked_nor_lost() {
     let mut ledger = Ledger::new(0.0);
     ledger.client_asked(NODE, 1, 0.0, 0, 0, ArrivalKind::First);
     ledger.connected(NODE, 1, 0.0, MEMBER);
--- a/crates/incident/src/analysis.rs
+++ b/crates/incident/src/analysis.rs
@@ -263,10 +263,10 @@
         self.until = self.until.max(at);
         let doubled = self.ledger.extend_to(at);
         if doubled > 0 {
-            let mut curves: Vec<&mut TimeSeries> = vec![&mut self.arrivals, &mut self.moved];
-            curves.extend(self.turned_away.values_mut());
-            curves.extend(self.budgets.values_mut().flatten());
-            curves.into_iter().for_each(|series| series.double_steps(doubled));
+            let mut all_series: Vec<&mut TimeSeries> = vec![&mut self.arrivals, &mut self.moved];
+            all_series.extend(self.turned_away.values_mut());
+            all_series.extend(self.budgets.values_mut().flatten());
+            all_series.into_iter().for_each(|series| series.double_steps(doubled));
         }
         let scale = self.ledger.scale;
         let source = self.source(origin);
@@ -339,8 +339,8 @@
                 let sample = (at, f64::from(tenant.budget), f64::from(tenant.open), f64::from(tenant.queued));
                 let last = source.tenant_samples.insert(tenant.tenant, sample);
                 if let Some((since, budget, open, queued)) = last {
-                    let curves = self.budgets.entry(tenant.tenant).or_default();
-                    for (series, value) in curves.iter_mut().zip([budget, open, queued]) {
+                    let all_series = self.budgets.entry(tenant.tenant).or_default();
+                    for (series, value) in all_series.iter_mut().zip([budget, open, queued]) {
                         series.add_rate(&scale, since, at, value);
                     }
                 }
--- a/crates/incident/src/lib.rs
+++ b/crates/incident/src/lib.rs
@@ -4,8 +4,7 @@
 //! `docs/records.md` defines the terms, above all the share of service lost.
 //!
 //! - [`member`]: states of a member, inferred from what the nodes observed.
-//! - [`accounting`]: accounts for the time in which clients wanted a connection, and for the part of it that was
-//!   lost.
+//! - [`accounting`]: the service that clients asked for, and the part of it that was lost.
 //! - [`series`]: time series with bounded memory.
 //! - `dead_peers`: periods in which a node was held dead by other nodes.
 //! - [`dashboard`]: current state of a site, for the console.
