--- a/crates/incident/src/lib.rs
+++ b/crates/incident/src/lib.rs
@@ -1,14 +1,14 @@
 //! What went wrong at a site, when, and what it cost, from the records of its nodes.
 //!
-//! Nothing here reads or writes: records go in as [`hopmoor_record::merge::Step`]s in the order of their times, and
-//! [`Findings`] come out. `docs/records.md` defines the words used, above all the share of service lost.
+//! The crate does no I/O: it takes [`hopmoor_record::merge::Step`]s in time order and returns [`Findings`].
+//! `docs/records.md` defines the terms, above all the share of service lost.
 //!
-//! - [`member`]: what is wrong with a member, from what nodes saw of it.
-//! - [`accounting`]: who wanted a connection when, and who had one: the share of service lost.
-//! - [`series`]: figures over time, at a resolution that stays within bounds.
-//! - `dead_peers`: nodes that others held dead.
-//! - [`dashboard`]: how things stand at one moment, for a console.
-//! - [`analysis`]: all of them fed together, and the findings drawn up.
+//! - [`member`]: states of a member, inferred from what the nodes observed.
+//! - [`accounting`]: the service that clients asked for, and the part of it that was lost.
+//! - [`series`]: time series with bounded memory.
+//! - `dead_peers`: periods in which a node was held dead by other nodes.
+//! - [`dashboard`]: current state of a site, for the console.
+//! - [`analysis`]: reads all records and builds the findings.
 
 pub mod accounting;
 pub mod analysis;
--- a/crates/incident/tests/any_records.rs
+++ b/crates/incident/tests/any_records.rs
@@ -1,4 +1,4 @@
-//! Whatever a node may have recorded, in whatever order: no panic, and sums that hold.
+//! Property test: for any records in any order the analysis does not panic and its sums stay consistent.
 use hopmoor_incident::{Dashboard, Findings, analyse};
 use hopmoor_record::folder::Item;
 use hopmoor_record::*;
@@ -123,13 +123,13 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn sums_hold_whatever_was_recorded(
+    fn sums_are_consistent_for_any_records(
         a in proptest::collection::vec((0f64..900.0, event(), prop::bool::weighted(0.02)), 0..150),
         b in proptest::collection::vec((0f64..900.0, event(), prop::bool::weighted(0.02)), 0..150),
     ) {
         let read = || {
-            let of = |items: Vec<Item>| Box::new(items.into_iter()) as Box<dyn Iterator<Item = Item>>;
-            Merged::of(vec![of(items("a", a.clone())), of(items("b", b.clone()))])
+            let reader = |items: Vec<Item>| Box::new(items.into_iter()) as Box<dyn Iterator<Item = Item>>;
+            Merged::of(vec![reader(items("a", a.clone())), reader(items("b", b.clone()))])
         };
         check(&analyse(read()));
         let mut dashboard = Dashboard::default();
