--- a/crates/agree/src/asking.rs
+++ b/crates/agree/src/asking.rs
@@ -1,55 +1,58 @@
-//! A node's side of a permit: it asks until it is answered, drains on a grant of what it still asks, and gives back until
-//! that is known.
+//! The node's side of a drain permit: requests one until a voter answers, starts the drain when the current
+//! request is granted, and repeats the release until the log is known to have it.
 
 use crate::entry::{Entry, Request};
 use crate::state::Answer;
 
-/// Between two tries, each at another voter: several times what an agreed entry takes.
-const AGAIN_MS: u64 = 150;
+/// Delay between two attempts, each sent to the next voter in turn. Several times what it takes to commit an
+/// entry.
+const RETRY_INTERVAL_MS: u64 = 150;
 
-/// Requests that are still to be given back, at most: one asked and withdrawn over and over while no voter answers.
-const BACKS: usize = 32;
+/// Upper bound on releases that no voter has acknowledged yet. Reached by a node that requests and withdraws
+/// over and over while no voter answers.
+const MAX_PENDING_RELEASES: usize = 32;
 
 #[derive(Debug)]
-struct Asked {
+struct Pending {
     request: Request,
-    last: Option<Answer>,
+    last_answer: Option<Answer>,
     fence: Option<u64>,
 }
 
-/// What a node asks and holds.
+/// A node's current permit request and the releases that are still to be acknowledged.
 #[derive(Debug, Default)]
 pub struct Asking {
-    asks: Option<Asked>,
-    /// What it gives back, until it is known that the log has it.
-    backs: Vec<Request>,
-    due: u64,
+    current: Option<Pending>,
+    /// Requests to release, each kept until a voter answers that the log has the release.
+    releases: Vec<Request>,
+    next_attempt_ms: u64,
 }
 
 impl Asking {
-    /// Asks under this new number, unless it asks or holds already.
+    /// Requests a permit under this new request number, unless a request or a permit is current already.
     pub fn ask(&mut self, request: Request) {
-        if self.asks.is_none() && self.backs.len() < BACKS {
-            self.asks = Some(Asked { request, last: None, fence: None });
-            self.due = 0;
+        if self.current.is_none() && self.releases.len() < MAX_PENDING_RELEASES {
+            self.current = Some(Pending { request, last_answer: None, fence: None });
+            self.next_attempt_ms = 0;
         }
     }
 
-    /// Asks no more, or gives back what it holds: the node serves.
+    /// Withdraws the current request or releases the permit that is held: the node takes clients again.
     pub fn give_back(&mut self) {
-        if let Some(standing) = self.asks.take() {
-            self.backs.push(standing.request);
-            self.due = 0;
+        if let Some(pending) = self.current.take() {
+            self.releases.push(pending.request);
+            self.next_attempt_ms = 0;
         }
     }
 
-    /// What it has been told; none: it asks for nothing. A last answer that has not come is said.
+    /// The state of the current request, as shown to operators; also says when no voter has answered yet.
+    /// `None` if there is no request.
     pub fn told(&self) -> Option<String> {
-        let Some(standing) = &self.asks else {
-            return (self.backs.len() >= BACKS)
-                .then(|| format!("waiting: {BACKS} are still to be given back"));
+        let Some(pending) = &self.current else {
+            return (self.releases.len() >= MAX_PENDING_RELEASES)
+                .then(|| format!("waiting: {MAX_PENDING_RELEASES} are still to be given back"));
         };
-        Some(match (&standing.fence, &standing.last) {
+        Some(match (&pending.fence, &pending.last_answer) {
             (Some(fence), _) => format!("permit {fence}"),
             (None, Some(Answer::Waiting(why))) => format!("waiting: {why}"),
             (None, Some(Answer::Refused(why))) => format!("refused: {why}"),
@@ -57,46 +60,52 @@
         })
     }
 
-    /// The number of the permit that it holds.
+    /// The fencing token of the permit that the node holds.
     pub fn fence(&self) -> Option<u64> {
-        self.asks.as_ref()?.fence
+        self.current.as_ref()?.fence
     }
 
-    /// A voter has answered. True if the node is to drain now: only on a grant of what it asks at this moment, to this coming
-    /// of it. One to an earlier coming is over as soon as this one is seen serving, and may be told late all the same.
+    /// Takes a voter's answer. Returns true if the node is to start draining now: only when the current
+    /// request is granted to the node's current incarnation. A grant to an earlier incarnation is void as
+    /// soon as the log has the current one as serving, but its message may still arrive late.
     pub fn answered(&mut self, request: Request, answer: Answer, incarnation: u64) -> bool {
         if answer == Answer::Over {
-            self.backs.retain(|back| *back != request);
+            self.releases.retain(|released| *released != request);
         }
-        let Some(standing) = self.asks.as_mut().filter(|standing| standing.request == request) else {
+        let Some(pending) = self.current.as_mut().filter(|pending| pending.request == request) else {
             return false;
         };
-        let begins = match answer {
-            Answer::Granted { fence, incarnation: to } if standing.fence.is_none() && to == incarnation => {
-                standing.fence = Some(fence);
+        let starts_drain = match answer {
+            Answer::Granted { fence, incarnation: to } if pending.fence.is_none() && to == incarnation => {
+                pending.fence = Some(fence);
                 true
             }
-            // Of an earlier coming: it asks anew. One that drains already finishes.
-            Answer::Over if standing.fence.is_none() => {
-                *standing = Asked { request: request.wrapping_add(1), last: None, fence: None };
+            // The request was made by an earlier incarnation and has ended: request anew. A node that already
+            // drains under a permit finishes.
+            Answer::Over if pending.fence.is_none() => {
+                *pending = Pending { request: request.wrapping_add(1), last_answer: None, fence: None };
                 return false;
             }
             _ => false,
         };
-        standing.last = Some(answer);
-        begins
+        pending.last_answer = Some(answer);
+        starts_drain
     }
 
-    /// What is to be proposed now, to another voter each time.
+    /// Returns the entries to propose now; empty before the next attempt is due. The caller sends them to the
+    /// next voter in turn.
     pub fn due(&mut self, now: u64, node: &str, incarnation: u64) -> Vec<Entry> {
-        if now < self.due {
+        if now < self.next_attempt_ms {
             return Vec::new();
         }
-        self.due = now + AGAIN_MS;
-        let asks = self.asks.as_ref().filter(|standing| standing.fence.is_none());
-        let ask =
-            asks.map(|standing| Entry::Ask { request: standing.request, node: node.to_owned(), incarnation });
-        ask.into_iter().chain(self.backs.iter().map(|request| Entry::Back(*request))).collect()
+        self.next_attempt_ms = now + RETRY_INTERVAL_MS;
+        let ungranted = self.current.as_ref().filter(|pending| pending.fence.is_none());
+        let ask_entry = ungranted.map(|pending| Entry::Ask {
+            request: pending.request,
+            node: node.to_owned(),
+            incarnation,
+        });
+        ask_entry.into_iter().chain(self.releases.iter().map(|request| Entry::Release(*request))).collect()
     }
 }
 
--- a/crates/agree/src/asking/tests.rs
+++ b/crates/agree/src/asking/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 #[test]
-fn it_drains_only_on_a_grant_of_what_it_still_asks() {
+fn only_a_grant_of_the_current_request_starts_a_drain() {
     let mut asking = Asking::default();
     asking.ask(1);
     assert_eq!(asking.due(1_000, "n", 5), [Entry::Ask { request: 1, node: "n".into(), incarnation: 5 }]);
     assert!(asking.due(1_010, "n", 5).is_empty());
     assert!(!asking.answered(1, Answer::Waiting("full".into()), 5));
     assert_eq!(asking.told().unwrap(), "waiting: full");
-    // Withdrawn; the grant comes late, and doubled.
+    // The request is withdrawn; its grant arrives late, and twice.
     asking.give_back();
     assert!(!asking.answered(1, Answer::Granted { fence: 7, incarnation: 5 }, 5));
-    assert_eq!(asking.due(2_000, "n", 5), [Entry::Back(1)]);
+    assert_eq!(asking.due(2_000, "n", 5), [Entry::Release(1)]);
     asking.ask(2);
     assert!(!asking.answered(1, Answer::Granted { fence: 7, incarnation: 5 }, 5));
     assert!(!asking.answered(1, Answer::Over, 5));
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn a_grant_to_an_earlier_coming_is_none() {
+fn a_grant_to_an_earlier_incarnation_starts_no_drain() {
     let mut asking = Asking::default();
     asking.ask(1);
     assert!(!asking.answered(1, Answer::Granted { fence: 7, incarnation: 5 }, 6));
-    // That one is over, and it asks anew.
+    // The earlier incarnation's request has ended, so the node requests anew under another number.
     assert!(!asking.answered(1, Answer::Over, 6));
     assert_eq!(asking.due(1_000, "n", 6), [Entry::Ask { request: 2, node: "n".into(), incarnation: 6 }]);
     assert!(asking.answered(2, Answer::Granted { fence: 8, incarnation: 6 }, 6));
--- a/crates/agree/src/entry.rs
+++ b/crates/agree/src/entry.rs
@@ -1,11 +1,13 @@
-//! What stands in the log. The order of the variants and fields is the format: new ones come last.
+//! The entries of the replicated log. They are stored and sent in postcard's encoding, which goes by the
+//! order of variants and fields: new ones are added last.
 
 use serde::{Deserialize, Serialize};
 
-/// A request's number, drawn at random by whoever asks: the same request by two ways is one.
+/// A request number, drawn at random by the requesting node. A request that reaches the log twice, by way of
+/// two voters, counts once.
 pub type Request = u128;
 
-/// What a budget is of.
+/// The set of nodes that a budget limits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Scope {
     /// All nodes.
@@ -23,45 +25,46 @@
     }
 }
 
-/// How many may be out at once.
+/// How many nodes of a scope may be out at once. A node is out if it does not serve or holds a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Most {
-    /// So many.
+    /// A number of nodes.
     Number(u32),
-    /// So many in a hundred of those known, rounded down.
+    /// A percentage of the scope's known nodes, rounded down.
     Percent(u8),
 }
 
 impl Most {
-    pub(crate) fn of(self, known: usize) -> usize {
+    /// The limit in nodes, for a scope with this many known nodes.
+    pub(crate) fn of(self, known_nodes: usize) -> usize {
         match self {
             Most::Number(number) => number as usize,
-            Most::Percent(share) => known * usize::from(share.min(100)) / 100,
+            Most::Percent(percent) => known_nodes * usize::from(percent.min(100)) / 100,
         }
     }
 }
 
-/// How a node stands, as the leader's view has it.
+/// A node's status in the leader's view of the fleet. Every status but `Serving` counts as out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// Takes clients. Any other counts as out.
+    /// Takes clients.
     Serving,
     /// Moves its clients away and takes none.
     Draining,
-    /// Ends.
+    /// Shuts down.
     Ending,
-    /// Not ready, or starting.
+    /// Starting, or not ready for another reason.
     NotReady,
-    /// Held dead.
+    /// Declared dead by failure detection.
     Dead,
-    /// Has said that it goes.
+    /// Announced that it leaves the fleet.
     Left,
-    /// In the log, and in the leader's view no more.
+    /// In the log, but no longer in the leader's view.
     Unknown,
 }
 
 impl Standing {
-    /// As in answers.
+    /// The text used in answers to nodes and operators.
     pub fn text(self) -> &'static str {
         match self {
             Standing::Serving => "serving",
@@ -75,16 +78,16 @@
     }
 }
 
-/// A node as the leader's view has it.
+/// A node as the leader's view of the fleet has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenNode {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Its zone.
+    /// The node's zone.
     pub zone: String,
-    /// Which coming of it.
+    /// The incarnation that was seen; of two, the larger number is the later one.
     pub incarnation: u64,
-    /// How it stands.
+    /// The node's status.
     pub standing: Standing,
 }
 
@@ -93,17 +96,17 @@
 pub enum Entry {
     /// An operator sets a budget.
     Budget(Scope, Most),
-    /// What the leader's view tells anew.
+    /// Nodes whose status in the leader's view differs from that in the log.
     Seen(Vec<SeenNode>),
-    /// A node asks to drain.
+    /// A node requests a permit to drain.
     Ask {
-        /// The request.
+        /// The request number.
         request: Request,
-        /// Who asks.
+        /// The name of the requesting node.
         node: String,
-        /// Which coming of it.
+        /// The incarnation of the requesting node.
         incarnation: u64,
     },
-    /// A node gives a permit back, or asks no more.
-    Back(Request),
+    /// A node releases its permit or withdraws its request.
+    Release(Request),
 }
--- a/crates/agree/src/founding/tests.rs
+++ b/crates/agree/src/founding/tests.rs
@@ -1,18 +1,21 @@
 use super::*;
 
 #[test]
-fn all_found_together_and_a_lost_folder_does_not_vote() {
+fn all_voters_bootstrap_together_and_one_that_lost_its_folder_does_not_vote() {
     let voters: Vec<String> = ["a", "b", "c"].map(str::to_owned).into();
-    let mut a = Founding::new("a", &voters, 1);
-    let mut b = Founding::new("b", &voters, 2);
-    let c = Founding::new("c", &voters, 3);
-    assert_eq!(a.heard("b", b.hail()), Outcome::Waits);
-    assert_eq!(a.heard("stranger", Hail::Empty(9)), Outcome::Waits);
-    let Outcome::Founds(founders) = a.heard("c", c.hail()) else { panic!("waits") };
+    let mut a = Bootstrap::new("a", &voters, 1);
+    let mut b = Bootstrap::new("b", &voters, 2);
+    let c = Bootstrap::new("c", &voters, 3);
+    assert_eq!(a.on_state("b", b.state()), BootstrapOutcome::Wait);
+    assert_eq!(a.on_state("stranger", BootstrapState::Empty(9)), BootstrapOutcome::Wait);
+    let BootstrapOutcome::Complete(founders) = a.on_state("c", c.state()) else { panic!("waits") };
     assert_eq!(founders.len(), 3);
-    // One that has not heard all founds with one that has.
-    assert_eq!(b.heard("a", Hail::Founded(founders.clone())), Outcome::Founds(founders.clone()));
-    // Started again with nothing: it may have voted.
-    let mut again = Founding::new("b", &voters, 4);
-    assert_eq!(again.heard("a", Hail::Founded(founders)), Outcome::Lost);
+    // b has not heard from all voters, but bootstraps with a, which has.
+    assert_eq!(
+        b.on_state("a", BootstrapState::Done(founders.clone())),
+        BootstrapOutcome::Complete(founders.clone())
+    );
+    // b restarts with an empty folder: it may have voted before.
+    let mut again = Bootstrap::new("b", &voters, 4);
+    assert_eq!(again.on_state("a", BootstrapState::Done(founders)), BootstrapOutcome::FolderLost);
 }
--- a/crates/agree/src/message.rs
+++ b/crates/agree/src/message.rs
@@ -1,30 +1,31 @@
-//! What goes between nodes, in the fleet's sealed datagrams. The order of variants is the format: new ones come last.
+//! The messages between nodes, sent in the fleet's sealed datagrams. postcard's encoding goes by the order of
+//! variants: new ones are added last.
 
 use crate::entry::{Entry, Request};
-use crate::founding::Hail;
+use crate::founding::BootstrapState;
 use crate::state::Answer;
 use serde::{Deserialize, Serialize};
 
-/// One message. All may be lost, doubled and out of order.
+/// One message. Any of them may be lost, duplicated or reordered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// `raft`'s, between voters.
+    /// A message of the `raft` crate, between voters.
     Log(Vec<u8>),
-    /// To any voter: please have this in the log.
+    /// From a node to any voter: asks for this entry to be added to the log.
     Propose(Entry),
-    /// From a voter: what its log says of a request.
+    /// From a voter to a node: what the log says of this request.
     Answer(Request, Answer),
-    /// Between voters: who has founded and who has not.
-    Hail(Hail),
+    /// Between voters: whether the sender has bootstrapped, and with whom.
+    BootstrapState(BootstrapState),
 }
 
 impl Message {
-    /// As bytes; none if it can't be written.
+    /// Encodes the message; `None` if it can't be encoded.
     pub fn write(&self) -> Option<Vec<u8>> {
         postcard::to_stdvec(self).ok()
     }
 
-    /// From bytes; none if it is not one, or of a newer kind.
+    /// Decodes a message; `None` if the bytes are malformed, or hold a variant of a newer version.
     pub fn read(bytes: &[u8]) -> Option<Message> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/agree/src/part.rs
+++ b/crates/agree/src/part.rs
@@ -1,66 +1,68 @@
-//! A node's part in the agreement, whole: it asks for its own drains, and votes if it is a voter. Fed messages, ticks and
-//! the view; yields what is to be sent, kept and done.
+//! All of a node's participation in agreed drains: it requests permits for its own drains and, if it is a
+//! voter, takes part in the Raft log. It is fed messages, ticks and the fleet view, and yields the actions to
+//! carry out.
 
 use crate::asking::Asking;
 use crate::entry::{Entry, Request, SeenNode};
-use crate::founding::{Founders, Founding, Hail, Outcome};
+use crate::founding::{Bootstrap, BootstrapOutcome, BootstrapState, Founders};
 use crate::message::Message;
 use crate::state::{Answer, Change, Permit};
 use crate::voter::{Kept, Voter, Work};
 use std::collections::VecDeque;
 
-/// Voters that found tell each other so this often.
-const HAIL_MS: u64 = 500;
+/// How often a voter that has not bootstrapped sends its state to the other voters.
+const BOOTSTRAP_INTERVAL_MS: u64 = 500;
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Debug)]
 pub enum Order {
-    /// Send this to a node; it may be lost.
+    /// Send these bytes to this node. They may be lost.
     Send(String, Vec<u8>),
-    /// The node is to drain, by this permit.
+    /// Drain the node, under the permit with this fencing token.
     Drain(u64),
-    /// Have it on disk that the log is founded by these; then [`Part::founded`].
+    /// Write these bytes, the founders of the log, to disk; then call [`Part::founded`].
     Found(Vec<u8>),
-    /// Have this on disk; then [`Part::kept`].
+    /// Write this to disk; then call [`Part::kept`].
     Keep(Work),
 }
 
-/// What staff may want to know.
+/// A change of this node's voting status, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// It votes.
+    /// The node votes.
     Votes {
-        /// In this term.
+        /// The Raft term at that time.
         term: u64,
     },
-    /// It does not vote, or no more, because of this.
+    /// The node does not vote, or has stopped voting, for this reason.
     Silent(String),
 }
 
-/// A node's part.
+/// A node's participation in agreed drains.
 pub struct Part {
     me: String,
     voters: Vec<String>,
     seed: u64,
-    /// The node's coming now.
+    /// This node's current incarnation.
     incarnation: u64,
     log: slog::Logger,
     asking: Asking,
     voter: Option<Voter>,
-    founding: Option<Founding>,
+    founding: Option<Bootstrap>,
     founders: Option<Founders>,
+    /// Why this node does not vote although it is configured as a voter.
     silent: Option<String>,
-    /// The voter to be asked next.
-    turn: usize,
-    hails: u64,
-    /// Something is on its way to disk.
-    busy: bool,
-    orders: VecDeque<Order>,
-    notes: VecDeque<Note>,
+    /// Counts proposals; modulo the number of voters it is the index of the voter to ask next.
+    proposals_sent: usize,
+    next_bootstrap_message_ms: u64,
+    /// A write to disk is in progress.
+    write_in_progress: bool,
+    actions: VecDeque<Order>,
+    status_changes: VecDeque<Note>,
 }
 
 impl Part {
-    /// A node's part at its start. The seed is drawn anew at each start.
+    /// A node's participation at the start of its process. The seed must be drawn anew at each start.
     pub fn new(me: &str, voters: &[String], seed: u64, log: slog::Logger) -> Part {
         Part {
             me: me.to_owned(),
@@ -73,55 +75,58 @@
             founding: None,
             founders: None,
             silent: None,
-            turn: 0,
-            hails: 0,
-            busy: false,
-            orders: VecDeque::new(),
-            notes: VecDeque::new(),
+            proposals_sent: 0,
+            next_bootstrap_message_ms: 0,
+            write_in_progress: false,
+            actions: VecDeque::new(),
+            status_changes: VecDeque::new(),
         }
     }
 
-    /// Whether it is to vote: its folder is to be opened then.
+    /// Whether this node is configured as a voter. If so, the caller opens its data folder.
     pub fn is_to_vote(&self) -> bool {
         self.voters.contains(&self.me)
     }
 
-    /// Its folder is open, with what was in it; none: it is empty.
-    pub fn opened(&mut self, found: Option<(Vec<u8>, Kept)>) {
-        match found {
-            Some((founded, kept)) => match postcard::from_bytes::<(String, Founders)>(&founded) {
-                // Two that vote from one folder's copies would vote twice.
-                Ok((whose, _)) if whose != self.me => self.stop(&format!("the folder is {whose}'s")),
-                Ok((_, founders)) => self.begin(founders, kept),
+    /// Takes what the data folder holds: founders and the voter's stored state, or `None` if the folder is
+    /// empty.
+    pub fn opened(&mut self, stored: Option<(Vec<u8>, Kept)>) {
+        match stored {
+            Some((founder_bytes, kept)) => match postcard::from_bytes::<(String, Founders)>(&founder_bytes) {
+                // With copies of one folder, two voters would cast the same vote twice.
+                Ok((owner, _)) if owner != self.me => self.stop(&format!("the folder is {owner}'s")),
+                Ok((_, founders)) => self.start_voting(founders, kept),
                 Err(_) => self.stop("the folder does not say who founded the log"),
             },
-            None => self.founding = Some(Founding::new(&self.me, &self.voters, self.seed)),
+            None => self.founding = Some(Bootstrap::new(&self.me, &self.voters, self.seed)),
         }
     }
 
-    /// It can't vote, or no more: its folder is not to be had, or what was to be kept was not.
+    /// Stops voting for this reason, such as a data folder that can't be opened or a failed write.
     pub fn stop(&mut self, why: &str) {
         self.voter = None;
         self.founding = None;
-        self.busy = false;
+        self.write_in_progress = false;
         if self.silent.as_deref() != Some(why) {
             self.silent = Some(why.to_owned());
-            self.notes.push_back(Note::Silent(why.to_owned()));
+            self.status_changes.push_back(Note::Silent(why.to_owned()));
         }
     }
 
-    fn begin(&mut self, founders: Founders, kept: Kept) {
-        // Voters that count different majorities would agree on different things.
+    fn start_voting(&mut self, founders: Founders, kept: Kept) {
+        // Voters with different voter lists count different majorities and could commit different entries.
         if founders.len() != self.voters.len() || self.voters.iter().any(|name| !founders.contains_key(name))
         {
             let names: Vec<&str> = founders.keys().map(String::as_str).collect();
-            return self
-                .stop(&format!("fleet.agree.voters are not those that founded: {}", names.join(", ")));
+            return self.stop(&format!(
+                "fleet.agree.voters differ from the voters that founded the log: {}",
+                names.join(", ")
+            ));
         }
         match Voter::new(&self.me, &self.voters, kept, self.seed, &self.log) {
             Ok(voter) => {
                 self.silent = None;
-                self.notes.push_back(Note::Votes { term: voter.term() });
+                self.status_changes.push_back(Note::Votes { term: voter.term() });
                 self.founders = Some(founders);
                 self.voter = Some(voter);
             }
@@ -129,168 +134,172 @@
         }
     }
 
-    /// Asks for a permit to drain, under this new number, unless it asks or holds one.
+    /// Requests a permit to drain under this new request number, unless a request or a permit is current
+    /// already.
     pub fn ask(&mut self, request: Request) {
         self.asking.ask(request);
     }
 
-    /// The node serves, or is not to drain: it gives back what it holds or asks.
+    /// Releases the permit or withdraws the request: the node serves again, or is no longer to drain.
     pub fn give_back(&mut self) {
         self.asking.give_back();
     }
 
-    /// What it asks and holds.
+    /// The state of this node's own permit request.
     pub fn asking(&self) -> &Asking {
         &self.asking
     }
 
-    /// The voter, if it votes.
+    /// The voter, if this node votes.
     pub fn voter(&self) -> Option<&Voter> {
         self.voter.as_ref()
     }
 
-    /// Why it does not vote, if it is to.
+    /// Why this node does not vote although it is configured as a voter; `None` if it votes or is no voter.
     pub fn silent(&self) -> Option<&str> {
         self.silent.as_deref()
     }
 
-    /// What staff may want to know.
+    /// Takes the next change of the voting status.
     pub fn note(&mut self) -> Option<Note> {
-        self.notes.pop_front()
+        self.status_changes.pop_front()
     }
 
-    /// [`crate::voter::TICK_MS`] have gone by.
+    /// Advances the clocks of the voter and the bootstrap. To be called every [`crate::voter::TICK_MS`].
     pub fn tick(&mut self, now: u64) {
         if let Some(voter) = &mut self.voter {
             voter.tick();
         }
-        if now >= self.hails
+        if now >= self.next_bootstrap_message_ms
             && let Some(founding) = &self.founding
         {
-            self.hails = now + HAIL_MS;
-            let hail = Message::Hail(founding.hail());
+            self.next_bootstrap_message_ms = now + BOOTSTRAP_INTERVAL_MS;
+            let message = Message::BootstrapState(founding.state());
             let others: Vec<String> =
                 self.voters.iter().filter(|voter| **voter != self.me).cloned().collect();
-            others.iter().for_each(|to| self.send(to, &hail));
+            others.iter().for_each(|to| self.send(to, &message));
         }
-        if let Some(alone) = self.founding.as_ref().map(Founding::alone) {
-            self.found(alone);
+        if let Some(outcome) = self.founding.as_ref().map(Bootstrap::outcome) {
+            self.on_bootstrap_outcome(outcome);
         }
     }
 
-    /// Whether the view is wanted: it is a leader's.
+    /// Whether this voter believes that it is the leader. Only a leader's view is of use to [`Part::sees`].
     pub fn wants_view(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::leads)
     }
 
-    /// How the view has the nodes.
+    /// Takes the nodes of the current view, for the leader to propose what differs from the log.
     pub fn sees(&mut self, view: &[SeenNode]) {
         if let Some(voter) = &mut self.voter {
             voter.sees(view);
         }
     }
 
-    /// Asks and gives back what is due, as this coming of the node. To be called before messages are taken.
+    /// Sends the permit requests and releases that are due, as this incarnation of the node. To be called
+    /// before [`Part::message`], which compares grants with that incarnation.
     pub fn due(&mut self, now: u64, incarnation: u64) {
         self.incarnation = incarnation;
         for entry in self.asking.due(now, &self.me, incarnation) {
-            let to = self.voters.get(self.turn % self.voters.len().max(1)).cloned();
-            self.turn = self.turn.wrapping_add(1);
+            let to = self.voters.get(self.proposals_sent % self.voters.len().max(1)).cloned();
+            self.proposals_sent = self.proposals_sent.wrapping_add(1);
             if let Some(to) = to {
                 self.send(&to, &Message::Propose(entry));
             }
         }
     }
 
-    /// What another node has sent.
+    /// Takes the bytes of a message from another node. Messages that can't be decoded are ignored.
     pub fn message(&mut self, from: &str, bytes: &[u8]) {
         if let Some(message) = Message::read(bytes) {
-            self.take(from, message);
+            self.on_message(from, message);
         }
     }
 
-    fn take(&mut self, from: &str, message: Message) {
-        let of_voter = self.voters.iter().any(|voter| voter == from);
+    fn on_message(&mut self, from: &str, message: Message) {
+        let from_voter = self.voters.iter().any(|voter| voter == from);
         match message {
-            Message::Log(bytes) if of_voter => {
+            Message::Log(bytes) if from_voter => {
                 if let Some(Err(error)) = self.voter.as_mut().map(|voter| voter.message(from, &bytes)) {
                     self.stop(&error.to_string());
                 }
             }
-            Message::Propose(entry) => self.proposed(from, entry),
-            Message::Answer(request, answer) if of_voter => {
+            Message::Propose(entry) => self.on_proposal(from, entry),
+            Message::Answer(request, answer) if from_voter => {
                 if self.asking.answered(request, answer, self.incarnation)
                     && let Some(fence) = self.asking.fence()
                 {
-                    self.orders.push_back(Order::Drain(fence));
+                    self.actions.push_back(Order::Drain(fence));
                 }
             }
-            Message::Hail(hail) if of_voter => match (&mut self.founding, hail) {
-                (Some(founding), hail) => {
-                    let outcome = founding.heard(from, hail);
-                    self.found(outcome);
+            Message::BootstrapState(state) if from_voter => match (&mut self.founding, state) {
+                (Some(founding), state) => {
+                    let outcome = founding.on_state(from, state);
+                    self.on_bootstrap_outcome(outcome);
                 }
-                // One that has founded tells who is empty still.
-                (None, Hail::Empty(_)) => {
+                // A voter that has bootstrapped tells the founders to one that has not.
+                (None, BootstrapState::Empty(_)) => {
                     if let Some(founders) = self.founders.clone() {
-                        self.send(from, &Message::Hail(Hail::Founded(founders)));
+                        self.send(from, &Message::BootstrapState(BootstrapState::Done(founders)));
                     }
                 }
-                (None, Hail::Founded(_)) => {}
+                (None, BootstrapState::Done(_)) => {}
             },
-            Message::Log(_) | Message::Answer(..) | Message::Hail(_) => {}
+            Message::Log(_) | Message::Answer(..) | Message::BootstrapState(_) => {}
         }
     }
 
-    fn found(&mut self, outcome: Outcome) {
+    fn on_bootstrap_outcome(&mut self, outcome: BootstrapOutcome) {
         match outcome {
-            Outcome::Waits => {}
-            Outcome::Founds(founders) => {
+            BootstrapOutcome::Wait => {}
+            BootstrapOutcome::Complete(founders) => {
                 self.founding = None;
-                self.busy = true;
+                self.write_in_progress = true;
                 match postcard::to_stdvec(&(&self.me, &founders)) {
-                    Ok(bytes) => self.orders.push_back(Order::Found(bytes)),
-                    Err(_) => self.stop("who founds can't be written"),
+                    Ok(bytes) => self.actions.push_back(Order::Found(bytes)),
+                    Err(_) => self.stop("the list of founders can't be encoded"),
                 }
                 self.founders = Some(founders);
             }
-            Outcome::Lost => {
-                self.stop("its folder was lost: the others founded with an earlier start of it");
+            BootstrapOutcome::FolderLost => {
+                self.stop("its folder was lost: the other voters founded the log with an earlier start of this voter");
             }
         }
     }
 
-    /// That the log is founded is on disk.
+    /// The founders are on disk: starts voting with an empty log.
     pub fn founded(&mut self) {
         if let Some(founders) = self.founders.take() {
-            self.busy = false;
-            self.begin(founders, Kept::default());
+            self.write_in_progress = false;
+            self.start_voting(founders, Kept::default());
         }
     }
 
-    /// Answers from the log, or has it come into the log.
-    fn proposed(&mut self, from: &str, entry: Entry) {
+    /// Answers a node's proposal if the log has taken it already or has no room for it, and otherwise
+    /// proposes it.
+    fn on_proposal(&mut self, from: &str, entry: Entry) {
         let Some(voter) = &mut self.voter else { return };
         let request = match &entry {
             Entry::Ask { request, node, .. } if node == from => *request,
-            Entry::Back(request) => *request,
-            // Nobody asks for another; the rest is not a node's to say.
+            Entry::Release(request) => *request,
+            // A node requests permits only for itself; budgets are set by operators, and views come from the
+            // leader.
             Entry::Ask { .. } | Entry::Seen(_) | Entry::Budget(..) => return,
         };
         let answer = voter.state().answer(request);
-        let known = match entry {
-            Entry::Back(_) => answer == Answer::Over,
+        let has_answer = match entry {
+            Entry::Release(_) => answer == Answer::Over,
             _ => answer != Answer::Unknown,
         };
-        if known {
+        if has_answer {
             self.send(from, &Message::Answer(request, answer));
         } else {
             voter.propose(&entry);
         }
     }
 
-    /// An operator sets a budget; whether it comes into the log is seen there. False if no voter is to be reached by this
-    /// node.
+    /// Proposes a budget set by an operator; the log shows whether it is committed. Returns false if this
+    /// node does not vote.
     pub fn set_budget(&mut self, entry: &Entry) -> bool {
         let Some(voter) = &mut self.voter else { return false };
         voter.propose(entry);
@@ -299,56 +308,58 @@
 
     fn send(&mut self, to: &str, message: &Message) {
         if to == self.me {
-            self.take(&self.me.clone(), message.clone());
+            self.on_message(&self.me.clone(), message.clone());
         } else if let Some(bytes) = message.write() {
-            self.orders.push_back(Order::Send(to.to_owned(), bytes));
+            self.actions.push_back(Order::Send(to.to_owned(), bytes));
         }
     }
 
-    fn say(&mut self, messages: Vec<(String, Vec<u8>)>) {
+    fn send_log_messages(&mut self, messages: Vec<(String, Vec<u8>)>) {
         for (to, bytes) in messages {
             self.send(&to, &Message::Log(bytes));
         }
     }
 
-    /// What is to be done next.
+    /// Returns the next action to carry out; `None` if there is none, or none before the write in progress is
+    /// done.
     pub fn order(&mut self) -> Option<Order> {
         loop {
-            if let Some(order) = self.orders.pop_front() {
-                return Some(order);
+            if let Some(action) = self.actions.pop_front() {
+                return Some(action);
             }
-            if self.busy {
+            if self.write_in_progress {
                 return None;
             }
-            match self.voter.as_mut()?.work() {
+            match self.voter.as_mut()?.pending_write() {
                 Ok(None) => return None,
                 Err(error) => self.stop(&error.to_string()),
                 Ok(Some(mut work)) => {
-                    self.say(std::mem::take(&mut work.first));
-                    self.busy = true;
+                    self.send_log_messages(std::mem::take(&mut work.immediate_messages));
+                    self.write_in_progress = true;
                     if work.log.is_empty() && work.vote.is_none() {
                         self.kept();
                     } else {
-                        self.orders.push_back(Order::Keep(work));
+                        self.actions.push_back(Order::Keep(work));
                     }
                 }
             }
         }
     }
 
-    /// What was to be kept is on disk.
+    /// What [`Order::Keep`] was to write is on disk.
     pub fn kept(&mut self) {
-        self.busy = false;
-        if let Some(messages) = self.voter.as_mut().map(Voter::done) {
-            self.say(messages);
+        self.write_in_progress = false;
+        if let Some(messages) = self.voter.as_mut().map(Voter::write_done) {
+            self.send_log_messages(messages);
         }
-        self.tell_changes();
+        self.announce_grants();
     }
 
-    /// The leader tells who was granted at once; the rest hear it when they ask again.
-    fn tell_changes(&mut self) {
+    /// As the leader, sends new grants to their nodes at once. A node that misses its grant learns of it when
+    /// it asks again.
+    fn announce_grants(&mut self) {
         let Some(voter) = &mut self.voter else { return };
-        let changes = voter.changes();
+        let changes = voter.take_changes();
         let granted = |permit: &&Permit| {
             changes.iter().any(|change| {
                 matches!(change, Change::Granted { node, fence }
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -1,71 +1,76 @@
-//! Budgets and permits, computed from the log alone: each voter that applies the same entries holds the same.
+//! Budgets and permits, computed from the log alone: voters that have applied the same entries have the same
+//! state.
 
 use crate::entry::{Entry, Most, Request, Scope, SeenNode, Standing};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the fleet's budget is before anybody sets one: the least that lets a release go on.
-const FIRST: Most = Most::Number(1);
-/// Requests that are over, remembered so that a late copy is not taken up again: far more than are ever under way.
-const OVER: usize = 4_096;
-/// Asks that stand at once; more are refused. Guards against a node that asks without end.
-const ASKS: usize = 4_096;
-/// Nodes that the log knows, at most: as many as a view does. Guards against one that makes up names.
-const NODES: usize = 4_096;
-/// Budgets, at most: of the fleet, and of as many zones as anybody tells apart.
-const BUDGETS: usize = 256;
-/// Names in a reason: it goes in one datagram.
-const NAMED: usize = 8;
+/// The fleet's budget until an operator sets one: the smallest with which a release of the software can
+/// proceed.
+const DEFAULT_FLEET_BUDGET: Most = Most::Number(1);
+/// Ended requests that are remembered, so that a late copy of one is not taken for a new request. Far more
+/// than are ever in progress.
+const MAX_ENDED_REQUESTS: usize = 4_096;
+/// Open requests, granted or waiting; further ones are refused. Guards against a node that sends requests
+/// without end.
+const MAX_OPEN_REQUESTS: usize = 4_096;
+/// Nodes in the log; a fleet view has the same limit. Guards against made-up names.
+const MAX_NODES: usize = 4_096;
+/// Budgets: that of the fleet, and those of more zones than are in use.
+const MAX_BUDGETS: usize = 256;
+/// Nodes named in the reason why a request waits, which has to fit in one datagram.
+const MAX_NODES_IN_REASON: usize = 8;
 
-/// What is known of a request.
+/// What the log says of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Nothing.
+    /// The log does not have the request.
     Unknown,
-    /// It waits, because of this.
+    /// The request waits, for this reason.
     Waiting(String),
-    /// Granted.
+    /// The request is granted: the node holds a permit.
     Granted {
-        /// Its number; a later grant has a larger one.
+        /// The fencing token: a later grant has a larger one.
         fence: u64,
-        /// To this coming of the node and no other: once a later one is seen serving it is over.
+        /// The only incarnation of the node that the permit is good for. The permit ends once a later
+        /// incarnation is seen serving.
         incarnation: u64,
     },
-    /// Given back, withdrawn, or of an earlier coming of its node.
+    /// The request has ended: released, withdrawn, or made by an earlier incarnation of its node.
     Over,
-    /// There is no room for it.
+    /// The log has no room for the request.
     Refused(String),
 }
 
-/// What an entry has changed.
+/// A change of the state by an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A permit was granted, under this number.
+    /// A request was granted.
     Granted {
-        /// To this node.
+        /// The node that holds the permit.
         node: String,
-        /// The index of the entry that made it fit.
+        /// The fencing token: the index of the entry after which the request fitted the budgets.
         fence: u64,
     },
-    /// A permit or an ask is over.
+    /// A request ended, granted or not.
     Ended {
-        /// Of this node.
+        /// The node that made the request.
         node: String,
-        /// It had been granted.
+        /// Whether the request had been granted.
         granted: bool,
     },
 }
 
-/// An ask, granted or not.
+/// An open request for a permit, granted or waiting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// The request.
+    /// The request number.
     pub request: Request,
-    /// Whose it is.
+    /// The node that made the request.
     pub node: String,
-    /// Which coming asked.
+    /// The incarnation that made the request.
     pub incarnation: u64,
-    /// The number it is granted under.
+    /// The fencing token, once the request is granted.
     pub fence: Option<u64>,
 }
 
@@ -76,109 +81,130 @@
     standing: Standing,
 }
 
-/// All that the log says so far.
+/// The state after all entries that have been applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     index: u64,
     budgets: BTreeMap<Scope, Most>,
     nodes: BTreeMap<String, Node>,
-    /// In the order they were asked.
-    asks: Vec<Permit>,
-    over: VecDeque<Request>,
+    /// Open requests, in log order.
+    open_requests: Vec<Permit>,
+    ended_requests: VecDeque<Request>,
 }
 
 impl Default for State {
     fn default() -> State {
         State {
             index: 0,
-            budgets: BTreeMap::from([(Scope::Fleet, FIRST)]),
+            budgets: BTreeMap::from([(Scope::Fleet, DEFAULT_FLEET_BUDGET)]),
             nodes: BTreeMap::new(),
-            asks: Vec::new(),
-            over: VecDeque::new(),
+            open_requests: Vec::new(),
+            ended_requests: VecDeque::new(),
         }
     }
 }
 
 impl State {
-    /// Takes the entry of this index.
+    /// Applies the entry with this index.
     pub fn apply(&mut self, index: u64, entry: Entry) -> Vec<Change> {
         self.index = index;
         let mut changes = Vec::new();
         match entry {
             Entry::Budget(scope, most) => {
-                if self.budgets.len() < BUDGETS || self.budgets.contains_key(&scope) {
+                if self.budgets.len() < MAX_BUDGETS || self.budgets.contains_key(&scope) {
                     self.budgets.insert(scope, most);
                 }
             }
-            Entry::Seen(nodes) => nodes.into_iter().for_each(|node| self.see(node, &mut changes)),
-            Entry::Ask { request, node, incarnation } => self.ask(request, node, incarnation),
-            Entry::Back(request) => self.end(|ask| ask.request == request, Some(request), &mut changes),
+            Entry::Seen(nodes) => nodes.into_iter().for_each(|node| self.update_node(node, &mut changes)),
+            Entry::Ask { request, node, incarnation } => self.add_request(request, node, incarnation),
+            Entry::Release(request) => {
+                self.end_requests(|permit| permit.request == request, Some(request), &mut changes)
+            }
         }
-        self.grant(&mut changes);
+        self.grant_fitting(&mut changes);
         changes
     }
 
-    fn see(&mut self, seen: SeenNode, changes: &mut Vec<Change>) {
+    fn update_node(&mut self, seen: SeenNode, changes: &mut Vec<Change>) {
         let SeenNode { name, zone, incarnation, standing } = seen;
         if self.nodes.get(&name).is_some_and(|known| known.incarnation > incarnation) {
             return;
         }
         if standing == Standing::Serving {
-            // Its earlier comings are no more, and with them what they asked. Only this frees the permit of a dead node.
-            self.end(|ask| ask.node == name && ask.incarnation < incarnation, None, changes);
+            // The earlier incarnations have ended, and their requests with them. Nothing else frees a dead
+            // node's permit.
+            self.end_requests(
+                |permit| permit.node == name && permit.incarnation < incarnation,
+                None,
+                changes,
+            );
         }
-        if self.nodes.len() < NODES || self.nodes.contains_key(&name) {
+        if self.nodes.len() < MAX_NODES || self.nodes.contains_key(&name) {
             self.nodes.insert(name, Node { zone, incarnation, standing });
         }
     }
 
-    fn ask(&mut self, request: Request, node: String, incarnation: u64) {
-        let known = self.asks.iter().any(|ask| ask.request == request) || self.over.contains(&request);
-        // Nobody would use what is granted to an earlier coming, and nothing would end it: this one is seen already.
-        let earlier = self.nodes.get(&node).is_some_and(|seen| seen.incarnation > incarnation);
-        if earlier && !known {
-            self.remember([request]);
-        } else if !known && self.asks.len() < ASKS {
-            self.asks.push(Permit { request, node, incarnation, fence: None });
+    fn add_request(&mut self, request: Request, node: String, incarnation: u64) {
+        let known = self.open_requests.iter().any(|permit| permit.request == request)
+            || self.ended_requests.contains(&request);
+        // A permit of an earlier incarnation would be used by nobody and never end, since the later
+        // incarnation has been seen already.
+        let outdated = self.nodes.get(&node).is_some_and(|seen| seen.incarnation > incarnation);
+        if outdated && !known {
+            self.remember_ended([request]);
+        } else if !known && self.open_requests.len() < MAX_OPEN_REQUESTS {
+            self.open_requests.push(Permit { request, node, incarnation, fence: None });
         }
     }
 
-    fn end(&mut self, of: impl Fn(&Permit) -> bool, request: Option<Request>, changes: &mut Vec<Change>) {
-        let (ended, stay): (Vec<_>, Vec<_>) = self.asks.drain(..).partition(of);
-        self.asks = stay;
-        let mut over: Vec<Request> = ended.iter().map(|ask| ask.request).collect();
-        // One that is given back before it is known: its ask may still come.
-        over.extend(request.filter(|request| !over.contains(request) && !self.over.contains(request)));
-        self.remember(over);
+    /// Ends the open requests that match, and remembers `request` as ended even if it is not open.
+    fn end_requests(
+        &mut self,
+        matches: impl Fn(&Permit) -> bool,
+        request: Option<Request>,
+        changes: &mut Vec<Change>,
+    ) {
+        let (ended, still_open): (Vec<_>, Vec<_>) = self.open_requests.drain(..).partition(matches);
+        self.open_requests = still_open;
+        let mut numbers: Vec<Request> = ended.iter().map(|permit| permit.request).collect();
+        // A release may come before its request.
+        numbers.extend(
+            request.filter(|request| !numbers.contains(request) && !self.ended_requests.contains(request)),
+        );
+        self.remember_ended(numbers);
         changes.extend(
-            ended.into_iter().map(|ask| Change::Ended { node: ask.node, granted: ask.fence.is_some() }),
+            ended
+                .into_iter()
+                .map(|permit| Change::Ended { node: permit.node, granted: permit.fence.is_some() }),
         );
     }
 
-    fn remember(&mut self, over: impl IntoIterator<Item = Request>) {
-        self.over.extend(over);
-        while self.over.len() > OVER {
-            self.over.pop_front();
+    fn remember_ended(&mut self, requests: impl IntoIterator<Item = Request>) {
+        self.ended_requests.extend(requests);
+        while self.ended_requests.len() > MAX_ENDED_REQUESTS {
+            self.ended_requests.pop_front();
         }
     }
 
-    /// Grants what fits, in the order it was asked.
-    fn grant(&mut self, changes: &mut Vec<Change>) {
-        for at in 0..self.asks.len() {
-            let fits =
-                self.asks.get(at).is_some_and(|ask| ask.fence.is_none() && self.against(ask).is_none());
-            if let Some(ask) = self.asks.get_mut(at).filter(|_| fits) {
-                ask.fence = Some(self.index);
-                changes.push(Change::Granted { node: ask.node.clone(), fence: self.index });
+    /// Grants the waiting requests that fit the budgets, in log order.
+    fn grant_fitting(&mut self, changes: &mut Vec<Change>) {
+        for at in 0..self.open_requests.len() {
+            let fits = self
+                .open_requests
+                .get(at)
+                .is_some_and(|permit| permit.fence.is_none() && self.reason_against(permit).is_none());
+            if let Some(permit) = self.open_requests.get_mut(at).filter(|_| fits) {
+                permit.fence = Some(self.index);
+                changes.push(Change::Granted { node: permit.node.clone(), fence: self.index });
             }
         }
     }
 
-    /// Why a node is out; none: it is not.
-    fn out(&self, name: &str) -> Option<String> {
-        let permit = self.asks.iter().find_map(|ask| ask.fence.filter(|_| ask.node == name));
+    /// Why a node counts as out; `None` if it does not.
+    fn why_out(&self, name: &str) -> Option<String> {
+        let fence = self.open_requests.iter().find_map(|permit| permit.fence.filter(|_| permit.node == name));
         let standing = self.nodes.get(name).map_or(Standing::Unknown, |node| node.standing);
-        match (standing, permit) {
+        match (standing, fence) {
             (Standing::Serving, None) => None,
             (Standing::Serving, Some(fence)) => Some(format!("permit {fence}")),
             (standing, _) => Some(standing.text().to_owned()),
@@ -192,71 +218,75 @@
         })
     }
 
-    /// What stands against granting this; none: nothing does.
-    fn against(&self, ask: &Permit) -> Option<String> {
-        if !self.nodes.contains_key(&ask.node) {
-            return Some(format!("{} is not yet seen by the voters", ask.node));
+    /// Why this request can't be granted now; `None` if it can.
+    fn reason_against(&self, permit: &Permit) -> Option<String> {
+        if !self.nodes.contains_key(&permit.node) {
+            return Some(format!("{} is not yet seen by the voters", permit.node));
         }
         self.budgets.iter().find_map(|(scope, most)| {
             let all: Vec<&str> = self.in_scope(scope).collect();
-            if !all.contains(&ask.node.as_str()) {
+            if !all.contains(&permit.node.as_str()) {
                 return None;
             }
-            let most = most.of(all.len());
+            let limit = most.of(all.len());
             let out: Vec<(&str, String)> =
-                all.iter().filter_map(|name| Some((*name, self.out(name)?))).collect();
-            let with = out.len() + usize::from(out.iter().all(|(name, _)| *name != ask.node));
-            if with <= most {
+                all.iter().filter_map(|name| Some((*name, self.why_out(name)?))).collect();
+            let out_if_granted = out.len() + usize::from(out.iter().all(|(name, _)| *name != permit.node));
+            if out_if_granted <= limit {
                 return None;
             }
-            let mut words = format!("{scope}: {} of {most} out", out.len());
-            for (n, (name, why)) in out.iter().take(NAMED).enumerate() {
-                words += &format!("{} {name} {why}", if n == 0 { ":" } else { "," });
+            let mut text = format!("{scope}: {} of {limit} out", out.len());
+            for (n, (name, why)) in out.iter().take(MAX_NODES_IN_REASON).enumerate() {
+                text += &format!("{} {name} {why}", if n == 0 { ":" } else { "," });
             }
-            if out.len() > NAMED {
-                words += &format!(" and {} more", out.len() - NAMED);
+            if out.len() > MAX_NODES_IN_REASON {
+                text += &format!(" and {} more", out.len() - MAX_NODES_IN_REASON);
             }
-            Some(words)
+            Some(text)
         })
     }
 
-    /// What is known of a request.
+    /// What the log says of a request.
     pub fn answer(&self, request: Request) -> Answer {
-        if self.over.contains(&request) {
+        if self.ended_requests.contains(&request) {
             return Answer::Over;
         }
-        match self.asks.iter().find(|ask| ask.request == request) {
+        match self.open_requests.iter().find(|permit| permit.request == request) {
             Some(Permit { fence: Some(fence), incarnation, .. }) => {
                 Answer::Granted { fence: *fence, incarnation: *incarnation }
             }
-            Some(ask) => Answer::Waiting(self.against(ask).unwrap_or_default()),
-            None if self.asks.len() >= ASKS => Answer::Refused(format!("{ASKS} requests stand already")),
+            Some(permit) => Answer::Waiting(self.reason_against(permit).unwrap_or_default()),
+            None if self.open_requests.len() >= MAX_OPEN_REQUESTS => {
+                Answer::Refused(format!("{MAX_OPEN_REQUESTS} requests stand already"))
+            }
             None => Answer::Unknown,
         }
     }
 
-    /// What is granted and what waits, in the order it was asked.
+    /// The open requests, granted and waiting, in log order.
     pub fn permits(&self) -> &[Permit] {
-        &self.asks
+        &self.open_requests
     }
 
-    /// Why it waits.
+    /// Why this request waits; `None` if it is granted.
     pub fn reason(&self, permit: &Permit) -> Option<String> {
-        permit.fence.is_none().then(|| self.against(permit)).flatten()
+        permit.fence.is_none().then(|| self.reason_against(permit)).flatten()
     }
 
-    /// The budgets.
+    /// The budgets in force.
     pub fn budgets(&self) -> impl Iterator<Item = (&Scope, Most)> {
         self.budgets.iter().map(|(scope, most)| (scope, *most))
     }
 
-    /// The index of the last entry.
+    /// The index of the last applied entry.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// What of a view is news: nodes that stand otherwise than the log says, and those that it knows and the view does not.
-    pub fn news(&self, view: &[SeenNode]) -> Vec<SeenNode> {
+    /// Returns how this view differs from the log: nodes with another zone, a later incarnation or another
+    /// status, and as [`Standing::Unknown`] those that the view no longer has. Earlier incarnations in the
+    /// view are left out.
+    pub fn unlogged_changes(&self, view: &[SeenNode]) -> Vec<SeenNode> {
         let changed = view.iter().filter(|seen| {
             self.nodes.get(&seen.name).is_none_or(|known| {
                 (&known.zone, known.standing) != (&seen.zone, seen.standing)
--- a/crates/agree/src/state/tests.rs
+++ b/crates/agree/src/state/tests.rs
@@ -17,33 +17,33 @@
 }
 
 #[test]
-fn one_at_a_time_in_the_order_asked_and_told_why() {
+fn requests_are_granted_one_at_a_time_in_log_order_and_the_others_get_the_reason() {
     let mut state = fleet(3);
     assert_eq!(state.apply(2, ask("n0", 10)), [Change::Granted { node: "n0".into(), fence: 2 }]);
     assert_eq!(state.apply(3, ask("n1", 11)), []);
     state.apply(4, ask("n2", 12));
     assert_eq!(state.answer(10), Answer::Granted { fence: 2, incarnation: 1 });
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 permit 2".into()));
-    // The same request twice is one.
+    // A request that comes twice counts once.
     assert_eq!(state.apply(5, ask("n0", 10)), []);
     let ended = Change::Ended { node: "n0".into(), granted: true };
-    assert_eq!(state.apply(6, Entry::Back(10)), [ended, Change::Granted { node: "n1".into(), fence: 6 }]);
-    // A late copy of what is over is not taken up again; nor one whose giving back came first.
+    assert_eq!(state.apply(6, Entry::Release(10)), [ended, Change::Granted { node: "n1".into(), fence: 6 }]);
+    // A late copy of an ended request is not opened again; nor is a request whose release came first.
     state.apply(7, ask("n0", 10));
-    state.apply(8, Entry::Back(13));
+    state.apply(8, Entry::Release(13));
     state.apply(9, ask("n0", 13));
     assert_eq!((state.answer(10), state.answer(13)), (Answer::Over, Answer::Over));
     assert_eq!(state.permits().len(), 2);
 }
 
 #[test]
-fn a_dead_nodes_permit_stands_until_it_serves_as_a_later_coming() {
+fn a_dead_nodes_permit_stands_until_a_later_incarnation_serves() {
     let mut state = fleet(3);
     state.apply(2, ask("n0", 10));
     state.apply(3, ask("n1", 11));
     state.apply(4, Entry::Seen(vec![seen("n0", "a", 1, Standing::Dead)]));
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 dead".into()));
-    // Alive again, and the same coming: it may drain still.
+    // Alive again as the same incarnation, which may still drain.
     state.apply(5, Entry::Seen(vec![seen("n0", "a", 1, Standing::Serving)]));
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 permit 2".into()));
     state.apply(6, Entry::Seen(vec![seen("n0", "a", 2, Standing::NotReady)]));
@@ -51,23 +51,23 @@
     state.apply(7, Entry::Seen(vec![seen("n0", "a", 2, Standing::Serving)]));
     assert_eq!(state.answer(10), Answer::Over);
     assert_eq!(state.answer(11), Answer::Granted { fence: 7, incarnation: 1 });
-    // Nor is what an earlier coming asked, and comes late, taken up.
+    // A late request of an earlier incarnation is not opened.
     state.apply(8, ask("n0", 12));
     assert_eq!(state.answer(12), Answer::Over);
-    // What was seen earlier and comes late changes nothing.
+    // A late observation of an earlier incarnation changes nothing.
     state.apply(8, Entry::Seen(vec![seen("n0", "a", 1, Standing::Dead)]));
-    assert_eq!(state.out("n0"), None);
+    assert_eq!(state.why_out("n0"), None);
 }
 
 #[test]
-fn what_is_out_by_itself_counts_and_a_smaller_budget_takes_nobody_back() {
+fn nodes_out_without_a_permit_count_and_a_smaller_budget_revokes_no_permit() {
     let mut state = fleet(9);
     state.apply(2, Entry::Budget(Scope::Fleet, Most::Percent(34)));
     state.apply(3, Entry::Budget(Scope::Zone("a".into()), Most::Number(1)));
     state.apply(4, Entry::Seen(vec![seen("n3", "a", 1, Standing::Dead)]));
     state.apply(5, ask("n0", 10));
     assert_eq!(state.answer(10), Answer::Waiting("zone a: 1 of 1 out: n3 dead".into()));
-    // Another zone's goes ahead of it.
+    // Requests of nodes in other zones overtake it.
     state.apply(6, ask("n1", 11));
     state.apply(7, ask("n4", 12));
     assert_eq!(
@@ -76,18 +76,21 @@
     );
     state.apply(8, Entry::Budget(Scope::Fleet, Most::Percent(5)));
     assert_eq!(state.answer(11), Answer::Granted { fence: 6, incarnation: 1 });
-    state.apply(9, Entry::Back(11));
+    state.apply(9, Entry::Release(11));
     let Answer::Waiting(why) = state.answer(10) else { panic!("granted") };
     assert_eq!(why, "fleet: 2 of 0 out: n3 dead, n4 permit 7");
-    // Nobody is granted whom no voter has seen.
+    // A node that the log does not have is granted nothing.
     state.apply(10, Entry::Ask { request: 13, node: "new".into(), incarnation: 1 });
     assert_eq!(state.answer(13), Answer::Waiting("new is not yet seen by the voters".into()));
 }
 
 #[test]
-fn news_is_what_the_log_does_not_say() {
+fn changes_in_the_view_are_those_that_the_log_does_not_have() {
     let state = fleet(2);
-    assert_eq!(state.news(&[seen("n0", "a", 1, Standing::Serving)]), [seen("n1", "b", 1, Standing::Unknown)]);
+    assert_eq!(
+        state.unlogged_changes(&[seen("n0", "a", 1, Standing::Serving)]),
+        [seen("n1", "b", 1, Standing::Unknown)]
+    );
     let both = [seen("n0", "a", 0, Standing::Dead), seen("n1", "b", 2, Standing::Serving)];
-    assert_eq!(state.news(&both), [seen("n1", "b", 2, Standing::Serving)]);
+    assert_eq!(state.unlogged_changes(&both), [seen("n1", "b", 2, Standing::Serving)]);
 }
--- a/crates/agree/src/voter.rs
+++ b/crates/agree/src/voter.rs
@@ -1,5 +1,5 @@
-//! One voter of the log. It is fed messages and ticks, and yields work: what is to be on disk before anything else is
-//! sent, and messages.
+//! One voter of the Raft log, on top of the `raft` crate. It is fed messages and ticks, and yields what must
+//! be on disk before it may go on, together with the messages to send.
 
 use crate::entry::{Entry, SeenNode};
 use crate::state::{Change, State};
@@ -12,250 +12,267 @@
 
 /// How often [`Voter::tick`] is to be called.
 pub const TICK_MS: u64 = 50;
-/// A leader is heard this often: 100 ms.
-const HEARTBEAT: usize = 2;
-/// One that is not heard for 1 to 2 s is replaced: longer than a process is stopped for by a busy machine.
-const ELECTION: usize = 20;
-/// Bytes of entries in one message: with its head it fits one datagram of the fleet.
-const BYTES: u64 = 700;
-/// Bytes that a leader takes before a majority has them; more are passed over and asked for again. Guards the memory of one that is
-/// asked by many while it hears nobody.
-const UNCOMMITTED: u64 = 256 * 1024;
-/// Bytes of one proposal, at most, for the same reason.
-pub const PROPOSAL: usize = 600;
-/// Nodes in one entry: with the longest names and zones they are within [`PROPOSAL`].
-const SEEN: usize = 3;
-/// What the leader has proposed of its view is not proposed again for so many ticks: time for it to be in the log.
-const QUIET: u64 = 10;
+/// Heartbeat interval of the leader: 100 ms.
+const HEARTBEAT_TICKS: usize = 2;
+/// Shortest election timeout; each is drawn between 1 and 2 s. Longer than a busy machine keeps a process
+/// from running.
+const ELECTION_TICKS: usize = 20;
+/// Bytes of entries in one append message. With its header the message fits in one datagram of the fleet.
+const MAX_APPEND_BYTES: u64 = 700;
+/// Bytes of uncommitted entries that a leader holds; it drops further proposals, and their senders repeat
+/// them. Bounds the memory of a leader that gets many proposals while it hears no other voter.
+const MAX_UNCOMMITTED_BYTES: u64 = 256 * 1024;
+/// Bytes of one proposal; bounded for the same reason.
+pub const MAX_PROPOSAL_BYTES: usize = 600;
+/// Nodes in one [`Entry::Seen`]: with the longest names and zones they stay within [`MAX_PROPOSAL_BYTES`].
+const MAX_NODES_PER_ENTRY: usize = 3;
+/// After the leader has proposed changes of its view it proposes none for this long, to give them time to get
+/// into the log. Otherwise it would propose the same changes again.
+const VIEW_PROPOSAL_INTERVAL_TICKS: u64 = 10;
 
-/// What a voter has on disk, as it reads it at its start.
+/// What a voter has on disk, as read at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Kept {
-    /// Term, vote and what is agreed; none: there was none yet.
+    /// The Raft hard state (term, vote and commit index); `None` if none was written yet.
     pub vote: Option<Vec<u8>>,
-    /// The log, in order.
+    /// The entries of the log, in order.
     pub log: Vec<Vec<u8>>,
 }
 
-/// What is to be done, in this order.
+/// Messages and a write, to be handled in the order of the fields.
 #[derive(Debug, Default)]
 pub struct Work {
-    /// Messages that need not wait.
-    pub first: Messages,
-    /// To be on disk, together, before [`Voter::done`]: the log from this index on, in place of what was there.
+    /// Messages that may be sent before the write.
+    pub immediate_messages: Messages,
+    /// Log entries to write. They replace the stored log from the first one's index on. They and the hard
+    /// state must be on disk, in one transaction, before [`Voter::write_done`].
     pub log: Vec<(u64, Vec<u8>)>,
-    /// And term and vote.
+    /// The Raft hard state to write, if it changed.
     pub vote: Option<Vec<u8>>,
 }
 
-/// Why a voter can't go on: it stops, and says so.
+/// Why a voter has to stop.
 #[derive(Debug)]
-pub struct Stopped(String);
+pub struct VoterError(String);
 
-impl fmt::Display for Stopped {
+impl fmt::Display for VoterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Stopped {}
+impl std::error::Error for VoterError {}
 
-impl From<raft::Error> for Stopped {
-    fn from(error: raft::Error) -> Stopped {
-        Stopped(error.to_string())
+impl From<raft::Error> for VoterError {
+    fn from(error: raft::Error) -> VoterError {
+        VoterError(error.to_string())
     }
 }
 
-impl From<protobuf::ProtobufError> for Stopped {
-    fn from(error: protobuf::ProtobufError) -> Stopped {
-        Stopped(format!("not a log: {error}"))
+impl From<protobuf::ProtobufError> for VoterError {
+    fn from(error: protobuf::ProtobufError) -> VoterError {
+        VoterError(format!("unreadable log entry or hard state: {error}"))
     }
 }
 
-/// To whom, and what.
+/// Encoded messages, each with the name of the voter that it goes to.
 pub type Messages = Vec<(String, Vec<u8>)>;
 
 /// One voter.
 pub struct Voter {
     raft: RawNode<MemStorage>,
-    names: BTreeMap<u64, String>,
+    names_by_id: BTreeMap<u64, String>,
     state: State,
-    /// What is on its way to disk, and what may be said only then.
-    under_way: Option<(u64, Messages)>,
+    /// The number of the `raft` ready that is being written, and the messages that may be sent only after
+    /// that.
+    write_in_progress: Option<(u64, Messages)>,
     ticks: u64,
-    /// When the leader last proposed what it sees.
-    saw: Option<u64>,
+    /// The tick in which the leader last proposed changes of its view.
+    view_proposed_at: Option<u64>,
     changes: Vec<Change>,
     seed: u64,
 }
 
-fn number(name: &str) -> u64 {
+fn raft_id(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()).max(1)
 }
 
 impl Voter {
-    /// A voter that has this on disk. The seed draws how long it waits before it stands for election.
+    /// Starts a voter with this state from its disk. The election timeouts are drawn from the seed.
     ///
     /// # Errors
-    /// What is on disk can't be read, or the voters are none.
+    /// If the stored state can't be read or is incomplete, or if the list of voters is empty.
     pub fn new(
         me: &str,
         voters: &[String],
         kept: Kept,
         seed: u64,
         log: &slog::Logger,
-    ) -> Result<Voter, Stopped> {
-        let names: BTreeMap<u64, String> = voters.iter().map(|name| (number(name), name.clone())).collect();
-        let ids: Vec<u64> = names.keys().copied().collect();
+    ) -> Result<Voter, VoterError> {
+        let names_by_id: BTreeMap<u64, String> =
+            voters.iter().map(|name| (raft_id(name), name.clone())).collect();
+        let ids: Vec<u64> = names_by_id.keys().copied().collect();
         let store = MemStorage::new_with_conf_state((ids, Vec::new()));
         {
             let mut core = store.wl();
             let entries = kept.log.iter().map(|bytes| LogEntry::parse_from_bytes(bytes));
             let entries = entries.collect::<Result<Vec<_>, _>>()?;
             if entries.iter().zip(1..).any(|(entry, index)| entry.index != index) {
-                return Err(Stopped("the log has a gap".into()));
+                return Err(VoterError("the log has a gap".into()));
             }
             core.append(&entries)?;
             if let Some(vote) = kept.vote {
                 let vote = HardState::parse_from_bytes(&vote)?;
                 if vote.commit > entries.len() as u64 {
-                    return Err(Stopped("the log ends before what was agreed".into()));
+                    return Err(VoterError("the log ends before its commit index".into()));
                 }
                 core.set_hardstate(vote);
             }
         }
         let config = Config {
-            id: number(me),
-            election_tick: ELECTION,
-            heartbeat_tick: HEARTBEAT,
-            max_size_per_msg: BYTES,
+            id: raft_id(me),
+            election_tick: ELECTION_TICKS,
+            heartbeat_tick: HEARTBEAT_TICKS,
+            max_size_per_msg: MAX_APPEND_BYTES,
             max_inflight_msgs: 64,
-            max_uncommitted_size: UNCOMMITTED,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
         Ok(Voter {
             raft: RawNode::new(&config, store, log)?,
-            names,
+            names_by_id,
             state: State::default(),
-            under_way: None,
+            write_in_progress: None,
             ticks: 0,
-            saw: None,
+            view_proposed_at: None,
             changes: Vec::new(),
             seed,
         })
     }
 
-    /// Time has come on by [`TICK_MS`].
+    /// Advances the voter's clock by [`TICK_MS`].
     pub fn tick(&mut self) {
         self.ticks += 1;
-        // Drawn for each term by the seed, not by raft's own source: a run in virtual time is the same each time.
+        // Drawn from the seed and the term, not from raft's own random source: simulated runs must be
+        // repeatable.
         let drawn = xxhash_rust::xxh3::xxh3_64_with_seed(&self.term().to_le_bytes(), self.seed);
-        self.raft.raft.set_randomized_election_timeout(ELECTION + (drawn % ELECTION as u64) as usize);
+        self.raft
+            .raft
+            .set_randomized_election_timeout(ELECTION_TICKS + (drawn % ELECTION_TICKS as u64) as usize);
         self.raft.tick();
     }
 
-    /// Takes a message of another voter. One under another's name is passed over.
+    /// Takes a message from another voter. A message that names another sender than `from` is ignored.
     ///
     /// # Errors
-    /// The voter stops: others count on a log that it has no more.
-    pub fn message(&mut self, from: &str, bytes: &[u8]) -> Result<(), Stopped> {
+    /// If this voter has lost log entries that the other voters count on. It must stop.
+    pub fn message(&mut self, from: &str, bytes: &[u8]) -> Result<(), VoterError> {
         if let Ok(message) = Message::parse_from_bytes(bytes)
-            && message.from == number(from)
-            && self.names.contains_key(&message.from)
-            // Nobody here sends one: the log is not cut.
+            && message.from == raft_id(from)
+            && self.names_by_id.contains_key(&message.from)
+            // No voter sends snapshots, since the log is never compacted.
             && message.get_msg_type() != MessageType::MsgSnapshot
         {
-            // raft ends the process over this. A folder put back from a copy does it, and may have voted since.
+            // raft would panic over this heartbeat. It comes if the folder was restored from an older copy.
+            // The voter may have voted since that copy was made, so it must stop.
             if message.get_msg_type() == MessageType::MsgHeartbeat
                 && message.term >= self.term()
                 && message.commit > self.raft.raft.raft_log.last_index()
             {
-                return Err(Stopped("its log ends before what it had told others that it has".into()));
+                return Err(VoterError(
+                    "its log ends before entries that it had acknowledged to other voters".into(),
+                ));
             }
-            // Errors tell of messages that come at a wrong time: raft passes them over.
+            // Errors are about messages that come at the wrong time; raft has ignored those.
             let _ = self.raft.step(message);
         }
         Ok(())
     }
 
-    /// Asks for an entry to be in the log. Whether it comes is seen only there.
+    /// Proposes an entry. Only the log shows whether it is committed.
     pub fn propose(&mut self, entry: &Entry) {
-        if let Some(bytes) = postcard::to_stdvec(entry).ok().filter(|bytes| bytes.len() <= PROPOSAL) {
-            // Without a leader it is lost: whoever wants it asks again.
+        if let Some(bytes) = postcard::to_stdvec(entry).ok().filter(|bytes| bytes.len() <= MAX_PROPOSAL_BYTES)
+        {
+            // Without a known leader the proposal is dropped; its source proposes it again.
             let _ = self.raft.propose(Vec::new(), bytes);
         }
     }
 
-    /// Tells the leader how its view has the nodes; what is news comes into the log.
+    /// As the leader, proposes what differs between this view and the log.
     pub fn sees(&mut self, view: &[SeenNode]) {
-        if !self.leads() || self.saw.is_some_and(|at| self.ticks < at + QUIET) {
+        if !self.leads()
+            || self.view_proposed_at.is_some_and(|at| self.ticks < at + VIEW_PROPOSAL_INTERVAL_TICKS)
+        {
             return;
         }
-        let news = self.state.news(view);
-        if !news.is_empty() {
-            self.saw = Some(self.ticks);
-            news.chunks(SEEN).for_each(|some| self.propose(&Entry::Seen(some.to_vec())));
+        let changed = self.state.unlogged_changes(view);
+        if !changed.is_empty() {
+            self.view_proposed_at = Some(self.ticks);
+            changed.chunks(MAX_NODES_PER_ENTRY).for_each(|nodes| self.propose(&Entry::Seen(nodes.to_vec())));
         }
     }
 
-    /// Whether this voter leads, as far as it knows.
+    /// Whether this voter believes that it is the leader.
     pub fn leads(&self) -> bool {
         self.raft.raft.state == StateRole::Leader
     }
 
-    /// Who leads, as far as this voter knows.
+    /// The name of the voter that this one believes to be the leader.
     pub fn leader(&self) -> Option<&str> {
-        self.names.get(&self.raft.raft.leader_id).map(String::as_str)
+        self.names_by_id.get(&self.raft.raft.leader_id).map(String::as_str)
     }
 
-    /// The term.
+    /// The current Raft term.
     pub fn term(&self) -> u64 {
         self.raft.raft.term
     }
 
-    /// What the log says, as far as this voter knows it.
+    /// The state after the entries that this voter has applied.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// What the log has changed since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    /// Takes the changes by entries applied since the last call.
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    fn addressed(&self, messages: Vec<Message>) -> Messages {
-        let addressed =
-            |message: Message| Some((self.names.get(&message.to)?.clone(), message.write_to_bytes().ok()?));
-        messages.into_iter().filter_map(addressed).collect()
+    fn encode(&self, messages: Vec<Message>) -> Messages {
+        let encode = |message: Message| {
+            Some((self.names_by_id.get(&message.to)?.clone(), message.write_to_bytes().ok()?))
+        };
+        messages.into_iter().filter_map(encode).collect()
     }
 
-    fn apply(&mut self, entries: Vec<LogEntry>) -> Result<(), Stopped> {
+    fn apply(&mut self, entries: Vec<LogEntry>) -> Result<(), VoterError> {
         for entry in entries {
             if entry.get_entry_type() != EntryType::EntryNormal || entry.data.is_empty() {
                 continue;
             }
-            // A newer voter's: passed over, this one would hold other permits than the rest.
-            let read = postcard::from_bytes(&entry.data)
-                .map_err(|_| Stopped(format!("entry {} is of a newer kind", entry.index)))?;
-            self.changes.extend(self.state.apply(entry.index, read));
+            // The entry is from a voter of a newer version. Skipping it would let this voter's permits differ
+            // from the other voters'.
+            let decoded = postcard::from_bytes(&entry.data)
+                .map_err(|_| VoterError(format!("log entry {} is of a newer version", entry.index)))?;
+            self.changes.extend(self.state.apply(entry.index, decoded));
         }
         Ok(())
     }
 
-    /// What is to be done next; none while [`Voter::done`] is still to be called.
+    /// Returns the next messages and write. `None` if there are none, or until [`Voter::write_done`] is
+    /// called for the ones before.
     ///
     /// # Errors
-    /// The voter stops.
-    pub fn work(&mut self) -> Result<Option<Work>, Stopped> {
-        if self.under_way.is_some() || !self.raft.has_ready() {
+    /// If an entry can't be encoded, stored or applied. The voter must stop.
+    pub fn pending_write(&mut self) -> Result<Option<Work>, VoterError> {
+        if self.write_in_progress.is_some() || !self.raft.has_ready() {
             return Ok(None);
         }
         let mut ready = self.raft.ready();
-        let first = ready.take_messages();
-        let held = ready.take_persisted_messages();
-        let mut work = Work { first: self.addressed(first), ..Work::default() };
+        let immediate = ready.take_messages();
+        let after_write = ready.take_persisted_messages();
+        let mut work = Work { immediate_messages: self.encode(immediate), ..Work::default() };
         for entry in ready.entries() {
             work.log.push((entry.index, entry.write_to_bytes()?));
         }
@@ -267,19 +284,20 @@
         }
         drop(store);
         let committed = ready.take_committed_entries();
-        self.under_way = Some((ready.number(), self.addressed(held)));
-        // Messages and ticks go on coming while the disk works: only the way that is told so may be taken.
+        self.write_in_progress = Some((ready.number(), self.encode(after_write)));
+        // Messages and ticks still arrive during the write; raft allows that only if it is advanced
+        // asynchronously.
         self.raft.advance_append_async(ready);
         self.apply(committed)?;
         self.raft.advance_apply();
         Ok(Some(work))
     }
 
-    /// What was to be on disk is there: what may be said now.
-    pub fn done(&mut self) -> Messages {
-        let Some((number, held)) = self.under_way.take() else { return Vec::new() };
+    /// The write from [`Voter::pending_write`] is on disk. Returns the messages that may be sent now.
+    pub fn write_done(&mut self) -> Messages {
+        let Some((number, messages)) = self.write_in_progress.take() else { return Vec::new() };
         self.raft.on_persist_ready(number);
-        held
+        messages
     }
 }
 
--- a/crates/agree/src/voter/tests.rs
+++ b/crates/agree/src/voter/tests.rs
@@ -2,14 +2,16 @@
 use crate::state::Answer;
 use crate::{Most, Scope, Standing};
 
-/// A log and a vote.
+/// The log entries by index, and the hard state.
 type Disk = (BTreeMap<u64, Vec<u8>>, Option<Vec<u8>>);
 
-/// Voters with disks that may be lost, and links that may be cut.
-struct Three {
+/// Three voters, with disks that can be lost or restored and links that can be cut.
+struct Cluster {
     voters: BTreeMap<String, Voter>,
     disks: BTreeMap<String, Disk>,
-    cut: Vec<String>,
+    /// The voters on one side of a partition; the others are on its other side.
+    cut_off: Vec<String>,
+    /// Voters that refused a message and would have stopped.
     stopped: Vec<String>,
     names: Vec<String>,
 }
@@ -18,18 +20,18 @@
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-impl Three {
-    fn new() -> Three {
+impl Cluster {
+    fn new() -> Cluster {
         let names: Vec<String> = ["a", "b", "c"].map(str::to_owned).into();
-        let mut three = Three {
+        let mut cluster = Cluster {
             voters: BTreeMap::new(),
             disks: BTreeMap::new(),
-            cut: Vec::new(),
+            cut_off: Vec::new(),
             stopped: Vec::new(),
             names: names.clone(),
         };
-        names.iter().for_each(|name| three.start(name));
-        three
+        names.iter().for_each(|name| cluster.start(name));
+        cluster
     }
 
     fn start(&mut self, name: &str) {
@@ -47,22 +49,22 @@
             loop {
                 let mut sent = Vec::new();
                 for (name, voter) in &mut self.voters {
-                    while let Some(work) = voter.work().unwrap() {
+                    while let Some(work) = voter.pending_write().unwrap() {
                         let (log, vote) = self.disks.entry(name.clone()).or_default();
                         if let Some((first, _)) = work.log.first() {
                             log.split_off(first);
                         }
                         log.extend(work.log);
                         *vote = work.vote.or(vote.take());
-                        let more = work.first.into_iter().chain(voter.done());
-                        sent.extend(more.map(|(to, bytes)| (name.clone(), to, bytes)));
+                        let messages = work.immediate_messages.into_iter().chain(voter.write_done());
+                        sent.extend(messages.map(|(to, bytes)| (name.clone(), to, bytes)));
                     }
                 }
                 if sent.is_empty() {
                     break;
                 }
                 for (from, to, bytes) in sent {
-                    if self.cut.contains(&from) == self.cut.contains(&to)
+                    if self.cut_off.contains(&from) == self.cut_off.contains(&to)
                         && let Some(voter) = self.voters.get_mut(&to)
                         && voter.message(&from, &bytes).is_err()
                     {
@@ -74,8 +76,8 @@
     }
 
     fn leader(&self) -> Option<String> {
-        let newest = self.voters.iter().filter(|(_, voter)| voter.leads());
-        newest.max_by_key(|(_, voter)| voter.term()).map(|(name, _)| name.clone())
+        let leaders = self.voters.iter().filter(|(_, voter)| voter.leads());
+        leaders.max_by_key(|(_, voter)| voter.term()).map(|(name, _)| name.clone())
     }
 }
 
@@ -88,67 +90,67 @@
 }
 
 #[test]
-fn a_grant_outlives_its_leader_and_a_leader_cut_off_grants_nothing() {
-    let mut three = Three::new();
-    three.run(100);
-    let leader = three.leader().expect("a leader");
+fn a_grant_outlives_its_leader_and_a_partitioned_leader_grants_nothing() {
+    let mut cluster = Cluster::new();
+    cluster.run(100);
+    let leader = cluster.leader().expect("a leader");
     let view = [serving("n1"), serving("n2"), serving("n3"), serving("n4")];
-    three.voters.get_mut(&leader).unwrap().sees(&view);
-    three.run(3);
-    let follower = three.names.iter().find(|name| **name != leader).unwrap().clone();
-    three.voters.get_mut(&follower).unwrap().propose(&ask("n1", 1));
-    three.run(3);
-    assert!(three.voters.values().all(|voter| matches!(voter.state().answer(1), Answer::Granted { .. })));
-    // The leader is cut off; what it is asked does not come into the log, whatever it believes.
-    three.cut = vec![leader.clone()];
-    let alone = three.voters.get_mut(&leader).unwrap();
-    alone.propose(&Entry::Budget(Scope::Fleet, Most::Number(9)));
-    alone.propose(&ask("n2", 2));
-    three.run(100);
-    assert_eq!(three.voters[&leader].state().answer(2), Answer::Unknown);
-    let next = three.leader().expect("another");
+    cluster.voters.get_mut(&leader).unwrap().sees(&view);
+    cluster.run(3);
+    let follower = cluster.names.iter().find(|name| **name != leader).unwrap().clone();
+    cluster.voters.get_mut(&follower).unwrap().propose(&ask("n1", 1));
+    cluster.run(3);
+    assert!(cluster.voters.values().all(|voter| matches!(voter.state().answer(1), Answer::Granted { .. })));
+    // The leader is cut off. Its proposals are not committed, whether or not it still believes that it leads.
+    cluster.cut_off = vec![leader.clone()];
+    let old_leader = cluster.voters.get_mut(&leader).unwrap();
+    old_leader.propose(&Entry::Budget(Scope::Fleet, Most::Number(9)));
+    old_leader.propose(&ask("n2", 2));
+    cluster.run(100);
+    assert_eq!(cluster.voters[&leader].state().answer(2), Answer::Unknown);
+    let next = cluster.leader().expect("another leader");
     assert_ne!(next, leader);
-    three.voters.get_mut(&next).unwrap().propose(&ask("n3", 3));
-    three.run(3);
-    assert!(matches!(three.voters[&next].state().answer(3), Answer::Waiting(_)));
-    // Healed, all say the same; and after a start from disk, too.
-    three.cut.clear();
-    three.run(100);
-    let states: Vec<_> = three.voters.values().map(|voter| voter.state().clone()).collect();
+    cluster.voters.get_mut(&next).unwrap().propose(&ask("n3", 3));
+    cluster.run(3);
+    assert!(matches!(cluster.voters[&next].state().answer(3), Answer::Waiting(_)));
+    // After the partition heals all voters have the same state, and again after they restart from disk.
+    cluster.cut_off.clear();
+    cluster.run(100);
+    let states: Vec<_> = cluster.voters.values().map(|voter| voter.state().clone()).collect();
     assert!(states.iter().all(|state| *state == states[0] && state.answer(2) == Answer::Unknown));
-    for name in three.names.clone() {
-        three.start(&name);
+    for name in cluster.names.clone() {
+        cluster.start(&name);
     }
-    three.run(100);
-    assert!(three.voters.values().all(|voter| *voter.state() == states[0]));
+    cluster.run(100);
+    assert!(cluster.voters.values().all(|voter| *voter.state() == states[0]));
 }
 
 #[test]
-fn a_torn_log_is_refused() {
-    let mut three = Three::new();
-    three.run(100);
-    let (mut log, vote) = three.disks["a"].clone();
+fn a_log_that_ends_before_its_commit_index_is_refused() {
+    let mut cluster = Cluster::new();
+    cluster.run(100);
+    let (mut log, vote) = cluster.disks["a"].clone();
     let last = *log.keys().last().unwrap();
     log.remove(&last);
     let kept = Kept { vote, log: log.into_values().collect() };
-    assert!(Voter::new("a", &three.names, kept, 1, &quiet()).is_err());
+    assert!(Voter::new("a", &cluster.names, kept, 1, &quiet()).is_err());
 }
 
-/// A folder put back from an older copy: its voter has told more than it has.
+/// The folder was restored from an older copy: its voter has acknowledged entries that it no longer has.
 #[test]
-fn a_voter_whose_folder_went_back_in_time_stops() {
-    let mut three = Three::new();
-    three.run(100);
-    let leader = three.leader().expect("a leader");
-    let other = three.names.iter().find(|name| **name != leader).unwrap().clone();
-    let old = three.disks[&other].clone();
-    three.voters.get_mut(&leader).unwrap().sees(&[serving("n1")]);
-    three.run(3);
-    three.voters.get_mut(&leader).unwrap().propose(&ask("n1", 1));
-    three.run(3);
-    assert!(three.stopped.is_empty());
-    three.disks.insert(other.clone(), old);
-    three.start(&other);
-    three.run(20);
-    assert!(three.stopped.contains(&other));
+fn a_voter_whose_folder_was_restored_from_an_older_copy_stops() {
+    let mut cluster = Cluster::new();
+    cluster.run(100);
+    let leader = cluster.leader().expect("a leader");
+    let other = cluster.names.iter().find(|name| **name != leader).unwrap().clone();
+    let old_disk = cluster.disks[&other].clone();
+    cluster.voters.get_mut(&leader).unwrap().sees(&[serving("n1")]);
+    cluster.run(3);
+    cluster.voters.get_mut(&leader).unwrap().propose(&ask("n1", 1));
+    cluster.run(3);
+    assert!(cluster.stopped.is_empty());
+    cluster.disks.insert(other.clone(), old_disk);
+    cluster.start(&other);
+    cluster.run(20);
+    assert!(cluster.stopped.contains(&other));
 }
--- a/crates/vote/src/lib.rs
+++ b/crates/vote/src/lib.rs
@@ -1,7 +1,9 @@
-//! A voter's log and vote on disk: one file, by `redb`; each write is there whole, and synced, or not at all.
+//! A voter's Raft log and hard state on disk, in one `redb` database. Every write is one transaction, synced
+//! to disk.
 //!
 //! ```text
-//! FOLDER/vote.redb: table "log": index u64 -> entry; table "one": "vote", "founders" -> bytes
+//! FOLDER/vote.redb: table "log": index u64 -> entry
+//!                   table "one": "vote" -> hard state, "founders" -> founders of the log
 //! ```
 
 use hopmoor_agree::{Kept, Work};
@@ -9,12 +11,12 @@
 use std::fmt;
 use std::path::Path;
 
-const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
-const ONE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("one");
-const VOTE: &str = "vote";
-const FOUNDERS: &str = "founders";
+const LOG_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
+const VALUES_TABLE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("one");
+const HARD_STATE_KEY: &str = "vote";
+const FOUNDERS_KEY: &str = "founders";
 
-/// What is wrong with the folder.
+/// A failure to open, read or write the database.
 #[derive(Debug)]
 pub struct Failed(String);
 
@@ -26,80 +28,90 @@
 
 impl std::error::Error for Failed {}
 
-fn failed(error: impl Into<redb::Error>) -> Failed {
+fn store_error(error: impl Into<redb::Error>) -> Failed {
     Failed(error.into().to_string())
 }
 
-/// A voter's folder, open. Nobody else can have it open.
+/// A voter's data folder. Only one process can have it open at a time.
 pub struct Folder {
-    file: Database,
+    database: Database,
 }
 
 impl Folder {
-    /// Opens it, and makes it where there is none.
+    /// Opens the folder, and creates it if it does not exist.
     ///
     /// # Errors
-    /// It can't be made, another process has it open, or it is no such folder.
+    /// If the folder can't be created, another process has it open, or its file is not a database.
     pub fn open(folder: &Path) -> Result<Folder, Failed> {
-        let at = |error: &dyn fmt::Display| Failed(format!("{}: {error}", folder.display()));
-        std::fs::create_dir_all(folder).map_err(|error| at(&error))?;
-        let file = Database::create(folder.join("vote.redb")).map_err(|error| at(&error))?;
-        Ok(Folder { file })
+        let describe = |error: &dyn fmt::Display| Failed(format!("{}: {error}", folder.display()));
+        std::fs::create_dir_all(folder).map_err(|error| describe(&error))?;
+        let database = Database::create(folder.join("vote.redb")).map_err(|error| describe(&error))?;
+        Ok(Folder { database })
     }
 
-    /// What is there, and by whom the log was founded; none: it is new, or was lost.
+    /// Returns the founders of the log and the voter's stored state; `None` if the folder is new or its
+    /// contents were lost.
     ///
     /// # Errors
-    /// It can't be read.
+    /// If the database can't be read.
     pub fn read(&self) -> Result<Option<(Vec<u8>, Kept)>, Failed> {
-        let read = self.file.begin_read().map_err(failed)?;
-        let one = match read.open_table(ONE) {
-            Ok(one) => one,
+        let transaction = self.database.begin_read().map_err(store_error)?;
+        let values = match transaction.open_table(VALUES_TABLE) {
+            Ok(values) => values,
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-            Err(error) => return Err(failed(error)),
+            Err(error) => return Err(store_error(error)),
         };
-        let of = |key| -> Result<Option<Vec<u8>>, Failed> {
-            Ok(one.get(key).map_err(failed)?.map(|bytes| bytes.value().to_vec()))
+        let value = |key| -> Result<Option<Vec<u8>>, Failed> {
+            Ok(values.get(key).map_err(store_error)?.map(|bytes| bytes.value().to_vec()))
         };
-        let Some(founders) = of(FOUNDERS)? else { return Ok(None) };
-        let log = read.open_table(LOG).map_err(failed)?;
-        let log = log.iter().map_err(failed)?.map(|entry| Ok(entry.map_err(failed)?.1.value().to_vec()));
-        Ok(Some((founders, Kept { vote: of(VOTE)?, log: log.collect::<Result<_, Failed>>()? })))
+        let Some(founders) = value(FOUNDERS_KEY)? else { return Ok(None) };
+        let log = transaction.open_table(LOG_TABLE).map_err(store_error)?;
+        let log =
+            log.iter().map_err(store_error)?.map(|entry| Ok(entry.map_err(store_error)?.1.value().to_vec()));
+        Ok(Some((founders, Kept { vote: value(HARD_STATE_KEY)?, log: log.collect::<Result<_, Failed>>()? })))
     }
 
-    /// Founds the log.
+    /// Writes the founders and creates the empty log.
     ///
     /// # Errors
-    /// It can't be written.
+    /// If the write fails.
     pub fn found(&self, founders: &[u8]) -> Result<(), Failed> {
-        let write = self.file.begin_write().map_err(failed)?;
-        write.open_table(ONE).map_err(failed)?.insert(FOUNDERS, founders).map_err(failed)?;
-        write.open_table(LOG).map_err(failed)?;
-        write.commit().map_err(failed)
+        let transaction = self.database.begin_write().map_err(store_error)?;
+        transaction
+            .open_table(VALUES_TABLE)
+            .map_err(store_error)?
+            .insert(FOUNDERS_KEY, founders)
+            .map_err(store_error)?;
+        transaction.open_table(LOG_TABLE).map_err(store_error)?;
+        transaction.commit().map_err(store_error)
     }
 
-    /// Writes what a voter wants kept, and returns once it is.
+    /// Writes a voter's log entries and hard state, and returns once they are synced to disk.
     ///
     /// # Errors
-    /// It can't be written, or is not there for sure: the voter must say nothing more.
+    /// If the write fails, or may not have reached the disk. The voter must send no message after that.
     pub fn keep(&self, work: &Work) -> Result<(), Failed> {
         if work.log.is_empty() && work.vote.is_none() {
             return Ok(());
         }
-        let write = self.file.begin_write().map_err(failed)?;
+        let transaction = self.database.begin_write().map_err(store_error)?;
         {
-            let mut log = write.open_table(LOG).map_err(failed)?;
+            let mut log = transaction.open_table(LOG_TABLE).map_err(store_error)?;
             if let Some((from, _)) = work.log.first() {
-                log.retain_in(*from.., |_, _| false).map_err(failed)?;
+                log.retain_in(*from.., |_, _| false).map_err(store_error)?;
             }
             for (index, entry) in &work.log {
-                log.insert(index, entry.as_slice()).map_err(failed)?;
+                log.insert(index, entry.as_slice()).map_err(store_error)?;
             }
             if let Some(vote) = &work.vote {
-                write.open_table(ONE).map_err(failed)?.insert(VOTE, vote.as_slice()).map_err(failed)?;
+                transaction
+                    .open_table(VALUES_TABLE)
+                    .map_err(store_error)?
+                    .insert(HARD_STATE_KEY, vote.as_slice())
+                    .map_err(store_error)?;
             }
         }
-        write.commit().map_err(failed)
+        transaction.commit().map_err(store_error)
     }
 }
 
