--- a/crates/seal/src/keys.rs
+++ b/crates/seal/src/keys.rs
@@ -1,11 +1,11 @@
-//! Keys, from a file as operators keep one:
+//! Sealing keys, read from an operator's key file:
 //!
 //! ```json
 //! {"seal_with": 2, "keys": [{"id": 1, "secret": "BASE64 of 32 bytes"}, {"id": 2, "secret": "..."}]}
 //! ```
 //!
-//! To rotate, a new key is added at all nodes, then `seal_with` is turned to it, and the old one is taken out once
-//! nothing sealed under it is about any more.
+//! To rotate: add a new key at all nodes, then set `seal_with` to it at all nodes, and remove the old key
+//! once nothing sealed under it is in use.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -13,12 +13,12 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Bytes of a key.
+/// Length of a key in bytes.
 pub const KEY_BYTES: usize = 32;
-/// Keys in a file, at most.
-const MOST: usize = 64;
+/// Upper bound on the keys in a file.
+const MAX_KEYS: usize = 64;
 
-/// Keys by their numbers. Secrets are never shown.
+/// Keys by id, one of which seals. `Debug` shows the ids and no secret.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keys {
     seal_with: u32,
@@ -32,7 +32,7 @@
     }
 }
 
-/// What is wrong with a file of keys; it names the field and no secret.
+/// Why a key file is invalid. The text names the field at fault and contains no secret.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyError(pub String);
 
@@ -46,52 +46,52 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
+struct KeyFile {
     seal_with: u32,
-    keys: Vec<RawKey>,
+    keys: Vec<KeyEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RawKey {
+struct KeyEntry {
     id: u32,
     secret: String,
 }
 
 impl Keys {
-    /// One key, which seals.
+    /// A single key, which is also the sealing key.
     pub fn new(id: u32, secret: [u8; KEY_BYTES]) -> Keys {
         Keys { seal_with: id, keys: BTreeMap::from([(id, secret)]) }
     }
 
-    /// The keys of several, one of which seals; `None` if that is not among them.
-    pub fn joined(several: &[Keys], seal_with: u32) -> Option<Keys> {
+    /// All keys of these sets, sealing with this one; `None` if it is in none of them.
+    pub fn joined(key_sets: &[Keys], seal_with: u32) -> Option<Keys> {
         let keys: BTreeMap<u32, [u8; KEY_BYTES]> =
-            several.iter().flat_map(|keys| keys.keys.clone()).collect();
+            key_sets.iter().flat_map(|keys| keys.keys.clone()).collect();
         keys.contains_key(&seal_with).then_some(Keys { seal_with, keys })
     }
 
-    /// The highest number.
+    /// The highest key id.
     pub fn newest(&self) -> u32 {
         self.keys.keys().next_back().copied().unwrap_or_default()
     }
 
-    /// The number of the key that seals.
+    /// The id of the sealing key.
     pub fn seals_with(&self) -> u32 {
         self.seal_with
     }
 
-    /// The same keys, of which another one seals; `None` if that is not among them.
+    /// The same keys, sealing with this one; `None` if it is not among them.
     pub fn sealing_with(&self, id: u32) -> Option<Keys> {
         Keys::joined(std::slice::from_ref(self), id)
     }
 
-    /// One of them alone.
+    /// Only the key with this id, which seals; `None` if it is not among the keys.
     pub fn only(&self, id: u32) -> Option<Keys> {
-        self.named(id).map(|secret| Keys::new(id, secret))
+        self.secret(id).map(|secret| Keys::new(id, secret))
     }
 
-    /// The file that says the same, as [`Keys::read`] takes it.
+    /// The contents of a key file with these keys, as [`Keys::read`] takes them.
     pub fn file(&self) -> String {
         let keys: Vec<serde_json::Value> = self
             .keys
@@ -101,40 +101,40 @@
         serde_json::json!({"seal_with": self.seal_with, "keys": keys}).to_string() + "\n"
     }
 
-    /// Reads a file's text.
+    /// Parses the contents of a key file.
     ///
     /// # Errors
-    /// One line that names the field at fault.
+    /// If the file is invalid: one line that names the field at fault, or the position of a JSON error.
     pub fn read(json: &[u8]) -> Result<Keys, KeyError> {
-        // serde's own words may quote a secret: only where it went wrong is told.
-        let raw: Raw = serde_json::from_slice(json).map_err(|error| {
-            KeyError(format!("not a file of keys, at line {} column {}", error.line(), error.column()))
+        // serde's error text may quote a secret, so only the position is reported.
+        let file: KeyFile = serde_json::from_slice(json).map_err(|error| {
+            KeyError(format!("not a valid key file, at line {} column {}", error.line(), error.column()))
         })?;
-        if raw.keys.len() > MOST {
-            return Err(KeyError(format!("keys: more than {MOST}")));
+        if file.keys.len() > MAX_KEYS {
+            return Err(KeyError(format!("keys: more than {MAX_KEYS}")));
         }
         let mut keys = BTreeMap::new();
-        for (at, key) in raw.keys.iter().enumerate() {
+        for (at, key) in file.keys.iter().enumerate() {
             let bytes = STANDARD.decode(&key.secret).ok().and_then(|bytes| bytes.try_into().ok());
             let secret: [u8; KEY_BYTES] = bytes
                 .ok_or_else(|| KeyError(format!("keys[{at}].secret: not the base64 of {KEY_BYTES} bytes")))?;
             if keys.insert(key.id, secret).is_some() {
-                return Err(KeyError(format!("keys[{at}].id: {} stands there twice", key.id)));
+                return Err(KeyError(format!("keys[{at}].id: {} is used twice", key.id)));
             }
         }
-        if !keys.contains_key(&raw.seal_with) {
-            return Err(KeyError(format!("seal_with: no key {}", raw.seal_with)));
+        if !keys.contains_key(&file.seal_with) {
+            return Err(KeyError(format!("seal_with: no key {}", file.seal_with)));
         }
-        Ok(Keys { seal_with: raw.seal_with, keys })
+        Ok(Keys { seal_with: file.seal_with, keys })
     }
 
-    /// The key that is sealed with, and its number.
-    pub(crate) fn sealing(&self) -> (u32, [u8; KEY_BYTES]) {
+    /// The id and the secret of the sealing key.
+    pub(crate) fn sealing_key(&self) -> (u32, [u8; KEY_BYTES]) {
         (self.seal_with, self.keys.get(&self.seal_with).copied().unwrap_or_default())
     }
 
-    /// A key by its number.
-    pub(crate) fn named(&self, id: u32) -> Option<[u8; KEY_BYTES]> {
+    /// The secret of the key with this id.
+    pub(crate) fn secret(&self, id: u32) -> Option<[u8; KEY_BYTES]> {
         self.keys.get(&id).copied()
     }
 }
--- a/crates/seal/src/keys/tests.rs
+++ b/crates/seal/src/keys/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_bad_file_is_refused_by_field_and_shows_no_secret() {
+fn an_invalid_file_is_refused_with_its_field_and_no_secret_is_shown() {
     let good = STANDARD.encode([7; KEY_BYTES]);
     let file = |keys: &str| format!(r#"{{"seal_with":1,"keys":[{keys}]}}"#);
     let one = format!(r#"{{"id":1,"secret":"{good}"}}"#);
@@ -15,7 +15,7 @@
         (file(r#"{"id":1,"secret":true}"#), "line 1 column"),
         ("{".into(), "line 1 column"),
     ] {
-        let KeyError(said) = Keys::read(text.as_bytes()).unwrap_err();
-        assert!(said.contains(wanted) && !said.contains("c2hvcnQ"), "{text}: {said}");
+        let KeyError(message) = Keys::read(text.as_bytes()).unwrap_err();
+        assert!(message.contains(wanted) && !message.contains("c2hvcnQ"), "{text}: {message}");
     }
 }
--- a/crates/seal/src/lib.rs
+++ b/crates/seal/src/lib.rs
@@ -1,11 +1,12 @@
-//! Keys from an operator's file, and bytes sealed under them by XChaCha20-Poly1305 (RFC 8439 with the nonce of
-//! draft-irtf-cfrg-xchacha-03). No I/O and no source of random numbers.
+//! Authenticated encryption ("sealing") with keys from an operator's key file, by XChaCha20-Poly1305 (RFC
+//! 8439 with the extended nonce of draft-irtf-cfrg-xchacha-03). This crate does no I/O and draws no random
+//! numbers.
 //!
 //! ```text
 //! sealed:  kind u8 | key id u32 | nonce 24 bytes | ciphertext | tag 16 bytes
 //! ```
 //!
-//! Kind and key id are authenticated as well, so that what was sealed as one kind is never taken for another.
+//! Kind and key id are authenticated as associated data: bytes sealed as one kind never open as another.
 
 pub mod keys;
 
@@ -15,33 +16,34 @@
 use chacha20poly1305::{Key, KeyInit, XChaCha20Poly1305, XNonce};
 use std::fmt;
 
-/// Bytes of a nonce: enough that random ones never meet.
+/// Length of a nonce in bytes: long enough that random nonces do not repeat.
 pub const NONCE_BYTES: usize = 24;
-const HEAD: usize = 1 + 4;
-const TAG: usize = 16;
-/// Bytes that sealing adds.
-pub const OVERHEAD: usize = HEAD + NONCE_BYTES + TAG;
+const HEADER_BYTES: usize = 1 + 4;
+const TAG_BYTES: usize = 16;
+/// Bytes that sealing adds to the plaintext.
+pub const OVERHEAD: usize = HEADER_BYTES + NONCE_BYTES + TAG_BYTES;
 
-/// What was sealed. The bytes are the format: none is used again for another.
+/// The purpose of sealed bytes. The values are part of the format: a value is never reused for another
+/// purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Kind {
-    /// A stream's token.
+    /// A token that resumes a stream.
     Token = 1,
-    /// A datagram of the fleet.
+    /// A gossip datagram between nodes of the fleet.
     Datagram = b'd',
-    /// A frame of the fleet's exchanges.
+    /// A frame of a state exchange between two nodes of the fleet.
     Frame = b'f',
 }
 
-/// Why sealed bytes were refused: for counters and the log, never for who sent them.
+/// Why sealed bytes were refused. For counters and the log only; the sender is never told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsealed {
     /// Too short, or of another kind.
     Malformed,
-    /// Sealed under a key that is not there.
+    /// Sealed under a key that is not in the key file.
     UnknownKey,
-    /// Altered, or made by somebody without the key.
+    /// Altered, or sealed without the key.
     Forged,
 }
 
@@ -59,39 +61,40 @@
     XChaCha20Poly1305::new(&Key::from(key))
 }
 
-/// Seals bytes. The nonce must be random and new each time. `None` if they are too many to be sealed at all.
-pub fn seal(keys: &Keys, kind: Kind, plain: &[u8], nonce: [u8; NONCE_BYTES]) -> Option<Vec<u8>> {
-    let (id, key) = keys.sealing();
-    let mut sealed = Vec::with_capacity(plain.len() + OVERHEAD);
+/// Seals the plaintext with the sealing key. The nonce must be random and new each time. `None` if the
+/// plaintext is too long for the cipher.
+pub fn seal(keys: &Keys, kind: Kind, plaintext: &[u8], nonce: [u8; NONCE_BYTES]) -> Option<Vec<u8>> {
+    let (id, key) = keys.sealing_key();
+    let mut sealed = Vec::with_capacity(plaintext.len() + OVERHEAD);
     sealed.push(kind as u8);
     sealed.extend_from_slice(&id.to_le_bytes());
-    let payload = Payload { msg: plain, aad: &sealed };
-    let text = cipher(key).encrypt(&XNonce::from(nonce), payload).ok()?;
+    let payload = Payload { msg: plaintext, aad: &sealed };
+    let ciphertext = cipher(key).encrypt(&XNonce::from(nonce), payload).ok()?;
     sealed.extend_from_slice(&nonce);
-    sealed.extend_from_slice(&text);
+    sealed.extend_from_slice(&ciphertext);
     Some(sealed)
 }
 
-/// Opens sealed bytes. A key that is not there costs the same work as a wrong one: what is missing can't be told by
-/// the clock.
+/// Opens sealed bytes. An unknown key id costs the same work as a wrong key, so that timing does not show
+/// which key ids exist.
 ///
 /// # Errors
-/// Why they are refused.
+/// If the bytes are malformed or of another kind, sealed under an unknown key, or not authentic.
 pub fn open(keys: &Keys, kind: Kind, bytes: &[u8]) -> Result<Vec<u8>, Unsealed> {
-    let Some((&[first, a, b, c, d], rest)) = bytes.split_first_chunk::<HEAD>() else {
+    let Some((&[first, a, b, c, d], rest)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
         return Err(Unsealed::Malformed);
     };
     if first != kind as u8 {
         return Err(Unsealed::Malformed);
     }
-    let (nonce, sealed) = rest.split_first_chunk::<NONCE_BYTES>().ok_or(Unsealed::Malformed)?;
-    let known = keys.named(u32::from_le_bytes([a, b, c, d]));
-    let payload = Payload { msg: sealed, aad: &bytes[..HEAD] };
-    let plain = cipher(known.unwrap_or_default()).decrypt(&XNonce::from(*nonce), payload);
-    if known.is_none() {
+    let (nonce, ciphertext) = rest.split_first_chunk::<NONCE_BYTES>().ok_or(Unsealed::Malformed)?;
+    let secret = keys.secret(u32::from_le_bytes([a, b, c, d]));
+    let payload = Payload { msg: ciphertext, aad: &bytes[..HEADER_BYTES] };
+    let plaintext = cipher(secret.unwrap_or_default()).decrypt(&XNonce::from(*nonce), payload);
+    if secret.is_none() {
         return Err(Unsealed::UnknownKey);
     }
-    plain.map_err(|_| Unsealed::Forged)
+    plaintext.map_err(|_| Unsealed::Forged)
 }
 
 #[cfg(test)]
--- a/crates/seal/src/tests.rs
+++ b/crates/seal/src/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_sealed_as_one_kind_is_not_taken_for_another() {
+fn bytes_sealed_as_one_kind_do_not_open_as_another() {
     let keys = Keys::new(3, [9; KEY_BYTES]);
     let sealed = seal(&keys, Kind::Datagram, b"word", [1; NONCE_BYTES]).unwrap();
     assert_eq!(sealed.len(), 4 + OVERHEAD);
