--- a/tests/agree.rs
+++ b/tests/agree.rs
@@ -1,4 +1,5 @@
-//! Fleets of real processes that agree on drains, with faults between them; judged by what observers saw from outside.
+//! Fleets of real node processes that agree on drains, under injected faults. Checked against what outside
+//! observers saw.
 
 use hopmoor_rig::{Options, play};
 use hopmoor_standin::faults::Schedule;
@@ -13,19 +14,19 @@
     play(&Schedule::read(&text).unwrap(), &options).unwrap()
 }
 
-const NOBODY: [usize; 0] = [];
+const NO_NODES: [usize; 0] = [];
 
-/// Who drained for sure at some time within these.
+/// The nodes that certainly drained at some time between `from` and `to`, in seconds.
 fn drained(history: &History, from: f64, to: f64) -> Vec<usize> {
-    let mut who: Vec<usize> =
+    let mut nodes: Vec<usize> =
         history.drained().iter().filter(|span| span.1 < to && span.2 > from).map(|span| span.0).collect();
-    who.sort_unstable();
-    who.dedup();
-    who
+    nodes.sort_unstable();
+    nodes.dedup();
+    nodes
 }
 
 #[test]
-fn two_ask_and_one_waits_until_the_other_is_back() {
+fn of_two_nodes_that_ask_one_waits_until_the_other_serves_again() {
     let history = run(
         3,
         3,
@@ -38,11 +39,11 @@
     assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
     assert_eq!(drained(&history, 6.0, 9.0), [1], "{:?}", history.drained());
     assert_eq!(drained(&history, 9.5, 12.0), [2], "{:?}", history.drained());
-    assert_eq!(drained(&history, 13.0, 16.0), NOBODY, "{:?}", history.drained());
+    assert_eq!(drained(&history, 13.0, 16.0), NO_NODES, "{:?}", history.drained());
 }
 
 #[test]
-fn without_a_majority_nobody_drains_and_with_it_again_one_does() {
+fn without_a_majority_no_node_drains_and_once_it_is_back_one_does() {
     let history = run(
         4,
         3,
@@ -51,13 +52,13 @@
            {"at":7,"fault":"drain","nodes":{"only":[2,3]},"on":true},
            {"at":12,"fault":"start","nodes":{"only":[0,1]}}"#,
     );
-    assert_eq!(drained(&history, 0.0, 12.0), NOBODY, "{:?}", history.drained());
+    assert_eq!(drained(&history, 0.0, 12.0), NO_NODES, "{:?}", history.drained());
     assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
     assert_eq!(drained(&history, 20.0, 24.0).len(), 1, "{:?}", history.drained());
 }
 
 #[test]
-fn the_permit_of_a_node_that_died_frees_nobody_until_it_serves_again() {
+fn the_permit_of_a_dead_node_blocks_others_until_it_serves_again() {
     let history = run(
         4,
         3,
@@ -68,13 +69,14 @@
            {"at":16,"fault":"start","nodes":{"only":[3]}}"#,
     );
     assert_eq!(drained(&history, 6.0, 8.0), [3], "{:?}", history.drained());
-    assert_eq!(drained(&history, 8.5, 16.0), NOBODY, "{:?}", history.drained());
+    assert_eq!(drained(&history, 8.5, 16.0), NO_NODES, "{:?}", history.drained());
     assert_eq!(drained(&history, 16.0, 26.0), [1], "{:?}", history.drained());
 }
 
 #[test]
-fn a_part_without_a_majority_grants_nothing_though_it_had_the_leader() {
-    // Whoever leads is among 0 to 2: one of the three parts without a majority has it, in turn.
+fn a_partition_without_a_majority_grants_nothing_even_if_it_has_the_leader() {
+    // The voters are nodes 0 to 2. Each of the two cuts leaves voter 0, which may be the leader, without a
+    // majority: first with node 3, then with nodes 3 and 4.
     let history = run(
         6,
         3,
@@ -87,15 +89,16 @@
            {"at":38,"fault":"drain","nodes":"all","on":false}"#,
     );
     assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
-    // In the part that is cut off from two of three voters nobody drained; after the heals somebody did.
+    // On the side without two of the three voters no node drained; after the first cut had healed one did.
     assert!(!drained(&history, 7.0, 14.0).contains(&3), "{:?}", history.drained());
     assert!(!drained(&history, 22.2, 30.0).contains(&4), "{:?}", history.drained());
     assert_eq!(drained(&history, 15.0, 18.0).len(), 1, "{:?}", history.drained());
 }
 
-/// The voters are killed in turn, whoever leads among them, while seven ask at once and each is back after a while.
+/// Seven nodes ask at once, and each takes clients again a while after its drain. Meanwhile two of the three
+/// voters are killed and restarted, one after the other, whichever of them leads.
 #[test]
-fn seven_that_ask_at_once_go_one_by_one_while_leaders_are_killed() {
+fn seven_nodes_that_ask_at_once_drain_one_by_one_while_voters_are_killed() {
     let mut steps = r#"{"at":6,"fault":"drain","nodes":"all","on":true}"#.to_owned();
     let mut kills = vec![(8.2, "kill", 0), (11.2, "start", 0), (15.2, "kill", 1), (18.2, "start", 1)];
     for n in 0..18 {
@@ -108,8 +111,13 @@
     }
     let history = run(7, 3, 36.0, &steps);
     assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
-    // Those that were killed may have lost their turn; the rest had theirs. One whose turn begins just before all are told to
-    // take clients again has had it before it could be asked: that happens to one of them, after a killed one is back.
-    let had = |node: &usize| history.seen.iter().any(|seen| seen.node == *node && seen.drains);
-    assert!([2, 3, 4, 5, 6].iter().filter(|node| had(node)).count() >= 4, "{:?}", history.drained());
+    // The killed nodes 0 and 1 may have lost their turn; the others had theirs. One of the others may have
+    // had a turn that no observer saw: it began just before all draining nodes were told to take clients
+    // again. That happens to one node, after a killed one is back.
+    let was_seen_draining = |node: &usize| history.seen.iter().any(|seen| seen.node == *node && seen.drains);
+    assert!(
+        [2, 3, 4, 5, 6].iter().filter(|node| was_seen_draining(node)).count() >= 4,
+        "{:?}",
+        history.drained()
+    );
 }
