--- a/crates/seal/src/keys.rs
+++ b/crates/seal/src/keys.rs
@@ -64,7 +64,7 @@
         Keys { seal_with: id, keys: BTreeMap::from([(id, secret)]) }
     }
 
-    /// All keys of these sets, sealing with this one; `None` if it is in none of them.
+    /// All keys of these sets, sealing with the key of this id; `None` if no set has it.
     pub fn joined(key_sets: &[Keys], seal_with: u32) -> Option<Keys> {
         let keys: BTreeMap<u32, [u8; KEY_BYTES]> =
             key_sets.iter().flat_map(|keys| keys.keys.clone()).collect();
@@ -81,7 +81,7 @@
         self.seal_with
     }
 
-    /// The same keys, sealing with this one; `None` if it is not among them.
+    /// The same keys, sealing with the key of this id; `None` if it is not among them.
     pub fn sealing_with(&self, id: u32) -> Option<Keys> {
         Keys::joined(std::slice::from_ref(self), id)
     }
