--- a/crates/agree/src/entry.rs
+++ b/crates/agree/src/entry.rs
@@ -27,26 +27,26 @@
 
 /// How many nodes of a scope may be out at once. A node is out if it does not serve or holds a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Most {
+pub enum BudgetLimit {
     /// A number of nodes.
     Number(u32),
     /// A percentage of the scope's known nodes, rounded down.
     Percent(u8),
 }
 
-impl Most {
+impl BudgetLimit {
     /// The limit in nodes, for a scope with this many known nodes.
     pub(crate) fn of(self, known_nodes: usize) -> usize {
         match self {
-            Most::Number(number) => number as usize,
-            Most::Percent(percent) => known_nodes * usize::from(percent.min(100)) / 100,
+            BudgetLimit::Number(number) => number as usize,
+            BudgetLimit::Percent(percent) => known_nodes * usize::from(percent.min(100)) / 100,
         }
     }
 }
 
 /// A node's status in the leader's view of the fleet. Every status but `Serving` counts as out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum NodeStatus {
     /// Takes clients.
     Serving,
     /// Moves its clients away and takes none.
@@ -63,17 +63,17 @@
     Unknown,
 }
 
-impl Standing {
+impl NodeStatus {
     /// The text used in answers to nodes and operators.
     pub fn text(self) -> &'static str {
         match self {
-            Standing::Serving => "serving",
-            Standing::Draining => "draining",
-            Standing::Ending => "ending",
-            Standing::NotReady => "not ready",
-            Standing::Dead => "dead",
-            Standing::Left => "left",
-            Standing::Unknown => "unknown",
+            NodeStatus::Serving => "serving",
+            NodeStatus::Draining => "draining",
+            NodeStatus::Ending => "ending",
+            NodeStatus::NotReady => "not ready",
+            NodeStatus::Dead => "dead",
+            NodeStatus::Left => "left",
+            NodeStatus::Unknown => "unknown",
         }
     }
 }
@@ -88,14 +88,14 @@
     /// The incarnation that was seen; of two, the larger number is the later one.
     pub incarnation: u64,
     /// The node's status.
-    pub standing: Standing,
+    pub status: NodeStatus,
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// An operator sets a budget.
-    Budget(Scope, Most),
+    Budget(Scope, BudgetLimit),
     /// Nodes whose status in the leader's view differs from that in the log.
     Seen(Vec<SeenNode>),
     /// A node requests a permit to drain.
--- a/crates/agree/src/message.rs
+++ b/crates/agree/src/message.rs
@@ -1,8 +1,8 @@
 //! The messages between nodes, sent in the fleet's sealed datagrams. postcard's encoding goes by the order of
 //! variants: new ones are added last.
 
+use crate::bootstrap::BootstrapState;
 use crate::entry::{Entry, Request};
-use crate::founding::BootstrapState;
 use crate::state::Answer;
 use serde::{Deserialize, Serialize};
 
--- a/crates/agree/src/part.rs
+++ b/crates/agree/src/participant.rs
@@ -2,12 +2,12 @@
 //! voter, takes part in the Raft log. It is fed messages, ticks and the fleet view, and yields the actions to
 //! carry out.
 
-use crate::asking::Asking;
+use crate::bootstrap::{Bootstrap, BootstrapOutcome, BootstrapState, Founders};
 use crate::entry::{Entry, Request, SeenNode};
-use crate::founding::{Bootstrap, BootstrapOutcome, BootstrapState, Founders};
 use crate::message::Message;
+use crate::permit_client::PermitClient;
 use crate::state::{Answer, Change, Permit};
-use crate::voter::{Kept, Voter, Work};
+use crate::voter::{PendingWrite, PersistedState, Voter};
 use std::collections::VecDeque;
 
 /// How often a voter that has not bootstrapped sends its state to the other voters.
@@ -15,66 +15,66 @@
 
 /// An action for the caller to carry out.
 #[derive(Debug)]
-pub enum Order {
+pub enum Action {
     /// Send these bytes to this node. They may be lost.
     Send(String, Vec<u8>),
     /// Drain the node, under the permit with this fencing token.
     Drain(u64),
-    /// Write these bytes, the founders of the log, to disk; then call [`Part::founded`].
-    Found(Vec<u8>),
-    /// Write this to disk; then call [`Part::kept`].
-    Keep(Work),
+    /// Write these bytes, the founders of the log, to disk; then call [`Participant::founders_persisted`].
+    PersistFounders(Vec<u8>),
+    /// Write this to disk; then call [`Participant::persisted`].
+    Persist(PendingWrite),
 }
 
 /// A change of this node's voting status, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum VoterStatus {
     /// The node votes.
-    Votes {
+    Voting {
         /// The Raft term at that time.
         term: u64,
     },
     /// The node does not vote, or has stopped voting, for this reason.
-    Silent(String),
+    NotVoting(String),
 }
 
 /// A node's participation in agreed drains.
-pub struct Part {
+pub struct Participant {
     me: String,
     voters: Vec<String>,
     seed: u64,
     /// This node's current incarnation.
     incarnation: u64,
     log: slog::Logger,
-    asking: Asking,
+    permit_client: PermitClient,
     voter: Option<Voter>,
-    founding: Option<Bootstrap>,
+    bootstrap: Option<Bootstrap>,
     founders: Option<Founders>,
     /// Why this node does not vote although it is configured as a voter.
-    silent: Option<String>,
+    not_voting_reason: Option<String>,
     /// Counts proposals; modulo the number of voters it is the index of the voter to ask next.
     proposals_sent: usize,
     next_bootstrap_message_ms: u64,
     /// A write to disk is in progress.
     write_in_progress: bool,
-    actions: VecDeque<Order>,
-    status_changes: VecDeque<Note>,
+    actions: VecDeque<Action>,
+    status_changes: VecDeque<VoterStatus>,
 }
 
-impl Part {
+impl Participant {
     /// A node's participation at the start of its process. The seed must be drawn anew at each start.
-    pub fn new(me: &str, voters: &[String], seed: u64, log: slog::Logger) -> Part {
-        Part {
+    pub fn new(me: &str, voters: &[String], seed: u64, log: slog::Logger) -> Participant {
+        Participant {
             me: me.to_owned(),
             voters: voters.to_vec(),
             seed,
             incarnation: 0,
             log,
-            asking: Asking::default(),
+            permit_client: PermitClient::default(),
             voter: None,
-            founding: None,
+            bootstrap: None,
             founders: None,
-            silent: None,
+            not_voting_reason: None,
             proposals_sent: 0,
             next_bootstrap_message_ms: 0,
             write_in_progress: false,
@@ -84,36 +84,38 @@
     }
 
     /// Whether this node is configured as a voter. If so, the caller opens its data folder.
-    pub fn is_to_vote(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.voters.contains(&self.me)
     }
 
     /// Takes what the data folder holds: founders and the voter's stored state, or `None` if the folder is
     /// empty.
-    pub fn opened(&mut self, stored: Option<(Vec<u8>, Kept)>) {
+    pub fn folder_opened(&mut self, stored: Option<(Vec<u8>, PersistedState)>) {
         match stored {
-            Some((founder_bytes, kept)) => match postcard::from_bytes::<(String, Founders)>(&founder_bytes) {
-                // With copies of one folder, two voters would cast the same vote twice.
-                Ok((owner, _)) if owner != self.me => self.stop(&format!("the folder is {owner}'s")),
-                Ok((_, founders)) => self.start_voting(founders, kept),
-                Err(_) => self.stop("the folder does not say who founded the log"),
-            },
-            None => self.founding = Some(Bootstrap::new(&self.me, &self.voters, self.seed)),
+            Some((founder_bytes, persisted)) => {
+                match postcard::from_bytes::<(String, Founders)>(&founder_bytes) {
+                    // With copies of one folder, two voters would cast the same vote twice.
+                    Ok((owner, _)) if owner != self.me => self.stop(&format!("the folder is {owner}'s")),
+                    Ok((_, founders)) => self.start_voting(founders, persisted),
+                    Err(_) => self.stop("the folder does not say who founded the log"),
+                }
+            }
+            None => self.bootstrap = Some(Bootstrap::new(&self.me, &self.voters, self.seed)),
         }
     }
 
     /// Stops voting for this reason, such as a data folder that can't be opened or a failed write.
     pub fn stop(&mut self, why: &str) {
         self.voter = None;
-        self.founding = None;
+        self.bootstrap = None;
         self.write_in_progress = false;
-        if self.silent.as_deref() != Some(why) {
-            self.silent = Some(why.to_owned());
-            self.status_changes.push_back(Note::Silent(why.to_owned()));
+        if self.not_voting_reason.as_deref() != Some(why) {
+            self.not_voting_reason = Some(why.to_owned());
+            self.status_changes.push_back(VoterStatus::NotVoting(why.to_owned()));
         }
     }
 
-    fn start_voting(&mut self, founders: Founders, kept: Kept) {
+    fn start_voting(&mut self, founders: Founders, persisted: PersistedState) {
         // Voters with different voter lists count different majorities and could commit different entries.
         if founders.len() != self.voters.len() || self.voters.iter().any(|name| !founders.contains_key(name))
         {
@@ -123,10 +125,10 @@
                 names.join(", ")
             ));
         }
-        match Voter::new(&self.me, &self.voters, kept, self.seed, &self.log) {
+        match Voter::new(&self.me, &self.voters, persisted, self.seed, &self.log) {
             Ok(voter) => {
-                self.silent = None;
-                self.status_changes.push_back(Note::Votes { term: voter.term() });
+                self.not_voting_reason = None;
+                self.status_changes.push_back(VoterStatus::Voting { term: voter.term() });
                 self.founders = Some(founders);
                 self.voter = Some(voter);
             }
@@ -136,18 +138,18 @@
 
     /// Requests a permit to drain under this new request number, unless a request or a permit is current
     /// already.
-    pub fn ask(&mut self, request: Request) {
-        self.asking.ask(request);
+    pub fn request_permit(&mut self, request: Request) {
+        self.permit_client.request_permit(request);
     }
 
     /// Releases the permit or withdraws the request: the node serves again, or is no longer to drain.
-    pub fn give_back(&mut self) {
-        self.asking.give_back();
+    pub fn release(&mut self) {
+        self.permit_client.release();
     }
 
     /// The state of this node's own permit request.
-    pub fn asking(&self) -> &Asking {
-        &self.asking
+    pub fn permit_client(&self) -> &PermitClient {
+        &self.permit_client
     }
 
     /// The voter, if this node votes.
@@ -156,12 +158,12 @@
     }
 
     /// Why this node does not vote although it is configured as a voter; `None` if it votes or is no voter.
-    pub fn silent(&self) -> Option<&str> {
-        self.silent.as_deref()
+    pub fn not_voting_reason(&self) -> Option<&str> {
+        self.not_voting_reason.as_deref()
     }
 
     /// Takes the next change of the voting status.
-    pub fn note(&mut self) -> Option<Note> {
+    pub fn voter_status(&mut self) -> Option<VoterStatus> {
         self.status_changes.pop_front()
     }
 
@@ -171,36 +173,36 @@
             voter.tick();
         }
         if now >= self.next_bootstrap_message_ms
-            && let Some(founding) = &self.founding
+            && let Some(bootstrap) = &self.bootstrap
         {
             self.next_bootstrap_message_ms = now + BOOTSTRAP_INTERVAL_MS;
-            let message = Message::BootstrapState(founding.state());
+            let message = Message::BootstrapState(bootstrap.state());
             let others: Vec<String> =
                 self.voters.iter().filter(|voter| **voter != self.me).cloned().collect();
             others.iter().for_each(|to| self.send(to, &message));
         }
-        if let Some(outcome) = self.founding.as_ref().map(Bootstrap::outcome) {
+        if let Some(outcome) = self.bootstrap.as_ref().map(Bootstrap::outcome) {
             self.on_bootstrap_outcome(outcome);
         }
     }
 
-    /// Whether this voter believes that it is the leader. Only a leader's view is of use to [`Part::sees`].
-    pub fn wants_view(&self) -> bool {
+    /// Whether this voter believes that it is the leader. Only a leader's view is of use to [`Participant::update_view`].
+    pub fn is_leader(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::leads)
     }
 
     /// Takes the nodes of the current view, for the leader to propose what differs from the log.
-    pub fn sees(&mut self, view: &[SeenNode]) {
+    pub fn update_view(&mut self, view: &[SeenNode]) {
         if let Some(voter) = &mut self.voter {
-            voter.sees(view);
+            voter.update_view(view);
         }
     }
 
     /// Sends the permit requests and releases that are due, as this incarnation of the node. To be called
-    /// before [`Part::message`], which compares grants with that incarnation.
+    /// before [`Participant::message`], which compares grants with that incarnation.
     pub fn due(&mut self, now: u64, incarnation: u64) {
         self.incarnation = incarnation;
-        for entry in self.asking.due(now, &self.me, incarnation) {
+        for entry in self.permit_client.due(now, &self.me, incarnation) {
             let to = self.voters.get(self.proposals_sent % self.voters.len().max(1)).cloned();
             self.proposals_sent = self.proposals_sent.wrapping_add(1);
             if let Some(to) = to {
@@ -226,15 +228,15 @@
             }
             Message::Propose(entry) => self.on_proposal(from, entry),
             Message::Answer(request, answer) if from_voter => {
-                if self.asking.answered(request, answer, self.incarnation)
-                    && let Some(fence) = self.asking.fence()
+                if self.permit_client.answered(request, answer, self.incarnation)
+                    && let Some(fence) = self.permit_client.fence()
                 {
-                    self.actions.push_back(Order::Drain(fence));
+                    self.actions.push_back(Action::Drain(fence));
                 }
             }
-            Message::BootstrapState(state) if from_voter => match (&mut self.founding, state) {
-                (Some(founding), state) => {
-                    let outcome = founding.on_state(from, state);
+            Message::BootstrapState(state) if from_voter => match (&mut self.bootstrap, state) {
+                (Some(bootstrap), state) => {
+                    let outcome = bootstrap.on_state(from, state);
                     self.on_bootstrap_outcome(outcome);
                 }
                 // A voter that has bootstrapped tells the founders to one that has not.
@@ -253,10 +255,10 @@
         match outcome {
             BootstrapOutcome::Wait => {}
             BootstrapOutcome::Complete(founders) => {
-                self.founding = None;
+                self.bootstrap = None;
                 self.write_in_progress = true;
                 match postcard::to_stdvec(&(&self.me, &founders)) {
-                    Ok(bytes) => self.actions.push_back(Order::Found(bytes)),
+                    Ok(bytes) => self.actions.push_back(Action::PersistFounders(bytes)),
                     Err(_) => self.stop("the list of founders can't be encoded"),
                 }
                 self.founders = Some(founders);
@@ -268,10 +270,10 @@
     }
 
     /// The founders are on disk: starts voting with an empty log.
-    pub fn founded(&mut self) {
+    pub fn founders_persisted(&mut self) {
         if let Some(founders) = self.founders.take() {
             self.write_in_progress = false;
-            self.start_voting(founders, Kept::default());
+            self.start_voting(founders, PersistedState::default());
         }
     }
 
@@ -310,7 +312,7 @@
         if to == self.me {
             self.on_message(&self.me.clone(), message.clone());
         } else if let Some(bytes) = message.write() {
-            self.actions.push_back(Order::Send(to.to_owned(), bytes));
+            self.actions.push_back(Action::Send(to.to_owned(), bytes));
         }
     }
 
@@ -322,7 +324,7 @@
 
     /// Returns the next action to carry out; `None` if there is none, or none before the write in progress is
     /// done.
-    pub fn order(&mut self) -> Option<Order> {
+    pub fn next_action(&mut self) -> Option<Action> {
         loop {
             if let Some(action) = self.actions.pop_front() {
                 return Some(action);
@@ -336,18 +338,18 @@
                 Ok(Some(mut work)) => {
                     self.send_log_messages(std::mem::take(&mut work.immediate_messages));
                     self.write_in_progress = true;
-                    if work.log.is_empty() && work.vote.is_none() {
-                        self.kept();
+                    if work.log.is_empty() && work.hard_state.is_none() {
+                        self.persisted();
                     } else {
-                        self.actions.push_back(Order::Keep(work));
+                        self.actions.push_back(Action::Persist(work));
                     }
                 }
             }
         }
     }
 
-    /// What [`Order::Keep`] was to write is on disk.
-    pub fn kept(&mut self) {
+    /// What [`Action::Persist`] was to write is on disk.
+    pub fn persisted(&mut self) {
         self.write_in_progress = false;
         if let Some(messages) = self.voter.as_mut().map(Voter::write_done) {
             self.send_log_messages(messages);
--- a/crates/agree/src/asking.rs
+++ b/crates/agree/src/permit_client.rs
@@ -21,16 +21,16 @@
 
 /// A node's current permit request and the releases that are still to be acknowledged.
 #[derive(Debug, Default)]
-pub struct Asking {
+pub struct PermitClient {
     current: Option<Pending>,
     /// Requests to release, each kept until a voter answers that the log has the release.
     releases: Vec<Request>,
     next_attempt_ms: u64,
 }
 
-impl Asking {
+impl PermitClient {
     /// Requests a permit under this new request number, unless a request or a permit is current already.
-    pub fn ask(&mut self, request: Request) {
+    pub fn request_permit(&mut self, request: Request) {
         if self.current.is_none() && self.releases.len() < MAX_PENDING_RELEASES {
             self.current = Some(Pending { request, last_answer: None, fence: None });
             self.next_attempt_ms = 0;
@@ -38,7 +38,7 @@
     }
 
     /// Withdraws the current request or releases the permit that is held: the node takes clients again.
-    pub fn give_back(&mut self) {
+    pub fn release(&mut self) {
         if let Some(pending) = self.current.take() {
             self.releases.push(pending.request);
             self.next_attempt_ms = 0;
@@ -47,7 +47,7 @@
 
     /// The state of the current request, as shown to operators; also says when no voter has answered yet.
     /// `None` if there is no request.
-    pub fn told(&self) -> Option<String> {
+    pub fn status_text(&self) -> Option<String> {
         let Some(pending) = &self.current else {
             return (self.releases.len() >= MAX_PENDING_RELEASES)
                 .then(|| format!("waiting: {MAX_PENDING_RELEASES} are still to be given back"));
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -1,13 +1,13 @@
 //! Budgets and permits, computed from the log alone: voters that have applied the same entries have the same
 //! state.
 
-use crate::entry::{Entry, Most, Request, Scope, SeenNode, Standing};
+use crate::entry::{BudgetLimit, Entry, NodeStatus, Request, Scope, SeenNode};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The fleet's budget until an operator sets one: the smallest with which a release of the software can
 /// proceed.
-const DEFAULT_FLEET_BUDGET: Most = Most::Number(1);
+const DEFAULT_FLEET_BUDGET: BudgetLimit = BudgetLimit::Number(1);
 /// Ended requests that are remembered, so that a late copy of one is not taken for a new request. Far more
 /// than are ever in progress.
 const MAX_ENDED_REQUESTS: usize = 4_096;
@@ -78,14 +78,14 @@
 struct Node {
     zone: String,
     incarnation: u64,
-    standing: Standing,
+    status: NodeStatus,
 }
 
 /// The state after all entries that have been applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     index: u64,
-    budgets: BTreeMap<Scope, Most>,
+    budgets: BTreeMap<Scope, BudgetLimit>,
     nodes: BTreeMap<String, Node>,
     /// Open requests, in log order.
     open_requests: Vec<Permit>,
@@ -126,11 +126,11 @@
     }
 
     fn update_node(&mut self, seen: SeenNode, changes: &mut Vec<Change>) {
-        let SeenNode { name, zone, incarnation, standing } = seen;
+        let SeenNode { name, zone, incarnation, status } = seen;
         if self.nodes.get(&name).is_some_and(|known| known.incarnation > incarnation) {
             return;
         }
-        if standing == Standing::Serving {
+        if status == NodeStatus::Serving {
             // The earlier incarnations have ended, and their requests with them. Nothing else frees a dead
             // node's permit.
             self.end_requests(
@@ -140,7 +140,7 @@
             );
         }
         if self.nodes.len() < MAX_NODES || self.nodes.contains_key(&name) {
-            self.nodes.insert(name, Node { zone, incarnation, standing });
+            self.nodes.insert(name, Node { zone, incarnation, status });
         }
     }
 
@@ -203,11 +203,11 @@
     /// Why a node counts as out; `None` if it does not.
     fn why_out(&self, name: &str) -> Option<String> {
         let fence = self.open_requests.iter().find_map(|permit| permit.fence.filter(|_| permit.node == name));
-        let standing = self.nodes.get(name).map_or(Standing::Unknown, |node| node.standing);
-        match (standing, fence) {
-            (Standing::Serving, None) => None,
-            (Standing::Serving, Some(fence)) => Some(format!("permit {fence}")),
-            (standing, _) => Some(standing.text().to_owned()),
+        let status = self.nodes.get(name).map_or(NodeStatus::Unknown, |node| node.status);
+        match (status, fence) {
+            (NodeStatus::Serving, None) => None,
+            (NodeStatus::Serving, Some(fence)) => Some(format!("permit {fence}")),
+            (status, _) => Some(status.text().to_owned()),
         }
     }
 
@@ -274,7 +274,7 @@
     }
 
     /// The budgets in force.
-    pub fn budgets(&self) -> impl Iterator<Item = (&Scope, Most)> {
+    pub fn budgets(&self) -> impl Iterator<Item = (&Scope, BudgetLimit)> {
         self.budgets.iter().map(|(scope, most)| (scope, *most))
     }
 
@@ -284,17 +284,17 @@
     }
 
     /// Returns how this view differs from the log: nodes with another zone, a later incarnation or another
-    /// status, and as [`Standing::Unknown`] those that the view no longer has. Earlier incarnations in the
+    /// status, and as [`NodeStatus::Unknown`] those that the view no longer has. Earlier incarnations in the
     /// view are left out.
     pub fn unlogged_changes(&self, view: &[SeenNode]) -> Vec<SeenNode> {
         let changed = view.iter().filter(|seen| {
             self.nodes.get(&seen.name).is_none_or(|known| {
-                (&known.zone, known.standing) != (&seen.zone, seen.standing)
+                (&known.zone, known.status) != (&seen.zone, seen.status)
                     || known.incarnation < seen.incarnation
             }) && self.nodes.get(&seen.name).is_none_or(|known| known.incarnation <= seen.incarnation)
         });
         let gone = self.nodes.iter().filter(|(name, node)| {
-            node.standing != Standing::Unknown && view.iter().all(|seen| seen.name != **name)
+            node.status != NodeStatus::Unknown && view.iter().all(|seen| seen.name != **name)
         });
         changed
             .cloned()
@@ -302,7 +302,7 @@
                 name: name.clone(),
                 zone: node.zone.clone(),
                 incarnation: node.incarnation,
-                standing: Standing::Unknown,
+                status: NodeStatus::Unknown,
             }))
             .collect()
     }
--- a/crates/agree/src/state/tests.rs
+++ b/crates/agree/src/state/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn seen(name: &str, zone: &str, incarnation: u64, standing: Standing) -> SeenNode {
-    SeenNode { name: name.into(), zone: zone.into(), incarnation, standing }
+fn seen(name: &str, zone: &str, incarnation: u64, status: NodeStatus) -> SeenNode {
+    SeenNode { name: name.into(), zone: zone.into(), incarnation, status }
 }
 
 fn fleet(nodes: usize) -> State {
     let mut state = State::default();
     let all =
-        (0..nodes).map(|n| seen(&format!("n{n}"), ["a", "b", "c"][n % 3], 1, Standing::Serving)).collect();
+        (0..nodes).map(|n| seen(&format!("n{n}"), ["a", "b", "c"][n % 3], 1, NodeStatus::Serving)).collect();
     state.apply(1, Entry::Seen(all));
     state
 }
@@ -41,30 +41,30 @@
     let mut state = fleet(3);
     state.apply(2, ask("n0", 10));
     state.apply(3, ask("n1", 11));
-    state.apply(4, Entry::Seen(vec![seen("n0", "a", 1, Standing::Dead)]));
+    state.apply(4, Entry::Seen(vec![seen("n0", "a", 1, NodeStatus::Dead)]));
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 dead".into()));
     // Alive again as the same incarnation, which may still drain.
-    state.apply(5, Entry::Seen(vec![seen("n0", "a", 1, Standing::Serving)]));
+    state.apply(5, Entry::Seen(vec![seen("n0", "a", 1, NodeStatus::Serving)]));
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 permit 2".into()));
-    state.apply(6, Entry::Seen(vec![seen("n0", "a", 2, Standing::NotReady)]));
+    state.apply(6, Entry::Seen(vec![seen("n0", "a", 2, NodeStatus::NotReady)]));
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 not ready".into()));
-    state.apply(7, Entry::Seen(vec![seen("n0", "a", 2, Standing::Serving)]));
+    state.apply(7, Entry::Seen(vec![seen("n0", "a", 2, NodeStatus::Serving)]));
     assert_eq!(state.answer(10), Answer::Over);
     assert_eq!(state.answer(11), Answer::Granted { fence: 7, incarnation: 1 });
     // A late request of an earlier incarnation is not opened.
     state.apply(8, ask("n0", 12));
     assert_eq!(state.answer(12), Answer::Over);
     // A late observation of an earlier incarnation changes nothing.
-    state.apply(8, Entry::Seen(vec![seen("n0", "a", 1, Standing::Dead)]));
+    state.apply(8, Entry::Seen(vec![seen("n0", "a", 1, NodeStatus::Dead)]));
     assert_eq!(state.why_out("n0"), None);
 }
 
 #[test]
 fn nodes_out_without_a_permit_count_and_a_smaller_budget_revokes_no_permit() {
     let mut state = fleet(9);
-    state.apply(2, Entry::Budget(Scope::Fleet, Most::Percent(34)));
-    state.apply(3, Entry::Budget(Scope::Zone("a".into()), Most::Number(1)));
-    state.apply(4, Entry::Seen(vec![seen("n3", "a", 1, Standing::Dead)]));
+    state.apply(2, Entry::Budget(Scope::Fleet, BudgetLimit::Percent(34)));
+    state.apply(3, Entry::Budget(Scope::Zone("a".into()), BudgetLimit::Number(1)));
+    state.apply(4, Entry::Seen(vec![seen("n3", "a", 1, NodeStatus::Dead)]));
     state.apply(5, ask("n0", 10));
     assert_eq!(state.answer(10), Answer::Waiting("zone a: 1 of 1 out: n3 dead".into()));
     // Requests of nodes in other zones overtake it.
@@ -74,7 +74,7 @@
         (state.answer(11), state.answer(12)),
         (Answer::Granted { fence: 6, incarnation: 1 }, Answer::Granted { fence: 7, incarnation: 1 })
     );
-    state.apply(8, Entry::Budget(Scope::Fleet, Most::Percent(5)));
+    state.apply(8, Entry::Budget(Scope::Fleet, BudgetLimit::Percent(5)));
     assert_eq!(state.answer(11), Answer::Granted { fence: 6, incarnation: 1 });
     state.apply(9, Entry::Release(11));
     let Answer::Waiting(why) = state.answer(10) else { panic!("granted") };
@@ -88,9 +88,9 @@
 fn changes_in_the_view_are_those_that_the_log_does_not_have() {
     let state = fleet(2);
     assert_eq!(
-        state.unlogged_changes(&[seen("n0", "a", 1, Standing::Serving)]),
-        [seen("n1", "b", 1, Standing::Unknown)]
+        state.unlogged_changes(&[seen("n0", "a", 1, NodeStatus::Serving)]),
+        [seen("n1", "b", 1, NodeStatus::Unknown)]
     );
-    let both = [seen("n0", "a", 0, Standing::Dead), seen("n1", "b", 2, Standing::Serving)];
-    assert_eq!(state.unlogged_changes(&both), [seen("n1", "b", 2, Standing::Serving)]);
+    let both = [seen("n0", "a", 0, NodeStatus::Dead), seen("n1", "b", 2, NodeStatus::Serving)];
+    assert_eq!(state.unlogged_changes(&both), [seen("n1", "b", 2, NodeStatus::Serving)]);
 }
--- a/crates/agree/src/voter.rs
+++ b/crates/agree/src/voter.rs
@@ -32,23 +32,23 @@
 
 /// What a voter has on disk, as read at its start.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct PersistedState {
     /// The Raft hard state (term, vote and commit index); `None` if none was written yet.
-    pub vote: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// The entries of the log, in order.
     pub log: Vec<Vec<u8>>,
 }
 
 /// Messages and a write, to be handled in the order of the fields.
 #[derive(Debug, Default)]
-pub struct Work {
+pub struct PendingWrite {
     /// Messages that may be sent before the write.
     pub immediate_messages: Messages,
     /// Log entries to write. They replace the stored log from the first one's index on. They and the hard
     /// state must be on disk, in one transaction, before [`Voter::write_done`].
     pub log: Vec<(u64, Vec<u8>)>,
     /// The Raft hard state to write, if it changed.
-    pub vote: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
 }
 
 /// Why a voter has to stop.
@@ -105,7 +105,7 @@
     pub fn new(
         me: &str,
         voters: &[String],
-        kept: Kept,
+        persisted: PersistedState,
         seed: u64,
         log: &slog::Logger,
     ) -> Result<Voter, VoterError> {
@@ -115,18 +115,18 @@
         let store = MemStorage::new_with_conf_state((ids, Vec::new()));
         {
             let mut core = store.wl();
-            let entries = kept.log.iter().map(|bytes| LogEntry::parse_from_bytes(bytes));
+            let entries = persisted.log.iter().map(|bytes| LogEntry::parse_from_bytes(bytes));
             let entries = entries.collect::<Result<Vec<_>, _>>()?;
             if entries.iter().zip(1..).any(|(entry, index)| entry.index != index) {
                 return Err(VoterError("the log has a gap".into()));
             }
             core.append(&entries)?;
-            if let Some(vote) = kept.vote {
-                let vote = HardState::parse_from_bytes(&vote)?;
-                if vote.commit > entries.len() as u64 {
+            if let Some(hard_state) = persisted.hard_state {
+                let hard_state = HardState::parse_from_bytes(&hard_state)?;
+                if hard_state.commit > entries.len() as u64 {
                     return Err(VoterError("the log ends before its commit index".into()));
                 }
-                core.set_hardstate(vote);
+                core.set_hardstate(hard_state);
             }
         }
         let config = Config {
@@ -201,7 +201,7 @@
     }
 
     /// As the leader, proposes what differs between this view and the log.
-    pub fn sees(&mut self, view: &[SeenNode]) {
+    pub fn update_view(&mut self, view: &[SeenNode]) {
         if !self.leads()
             || self.view_proposed_at.is_some_and(|at| self.ticks < at + VIEW_PROPOSAL_INTERVAL_TICKS)
         {
@@ -265,22 +265,22 @@
     ///
     /// # Errors
     /// If an entry can't be encoded, stored or applied. The voter must stop.
-    pub fn pending_write(&mut self) -> Result<Option<Work>, VoterError> {
+    pub fn pending_write(&mut self) -> Result<Option<PendingWrite>, VoterError> {
         if self.write_in_progress.is_some() || !self.raft.has_ready() {
             return Ok(None);
         }
         let mut ready = self.raft.ready();
         let immediate = ready.take_messages();
         let after_write = ready.take_persisted_messages();
-        let mut work = Work { immediate_messages: self.encode(immediate), ..Work::default() };
+        let mut work = PendingWrite { immediate_messages: self.encode(immediate), ..PendingWrite::default() };
         for entry in ready.entries() {
             work.log.push((entry.index, entry.write_to_bytes()?));
         }
-        work.vote = ready.hs().map(HardState::write_to_bytes).transpose()?;
+        work.hard_state = ready.hs().map(HardState::write_to_bytes).transpose()?;
         let mut store = self.raft.mut_store().wl();
         store.append(ready.entries())?;
-        if let Some(vote) = ready.hs() {
-            store.set_hardstate(vote.clone());
+        if let Some(hard_state) = ready.hs() {
+            store.set_hardstate(hard_state.clone());
         }
         drop(store);
         let committed = ready.take_committed_entries();
--- a/crates/agree/src/voter/tests.rs
+++ b/crates/agree/src/voter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::state::Answer;
-use crate::{Most, Scope, Standing};
+use crate::{BudgetLimit, NodeStatus, Scope};
 
 /// The log entries by index, and the hard state.
 type Disk = (BTreeMap<u64, Vec<u8>>, Option<Vec<u8>>);
@@ -35,11 +35,11 @@
     }
 
     fn start(&mut self, name: &str) {
-        let (log, vote) = self.disks.entry(name.to_owned()).or_default().clone();
-        let kept = Kept { vote, log: log.into_values().collect() };
+        let (log, hard_state) = self.disks.entry(name.to_owned()).or_default().clone();
+        let persisted = PersistedState { hard_state, log: log.into_values().collect() };
         self.voters.insert(
             name.to_owned(),
-            Voter::new(name, &self.names, kept, u64::from(name.as_bytes()[0]), &quiet()).unwrap(),
+            Voter::new(name, &self.names, persisted, u64::from(name.as_bytes()[0]), &quiet()).unwrap(),
         );
     }
 
@@ -50,12 +50,12 @@
                 let mut sent = Vec::new();
                 for (name, voter) in &mut self.voters {
                     while let Some(work) = voter.pending_write().unwrap() {
-                        let (log, vote) = self.disks.entry(name.clone()).or_default();
+                        let (log, hard_state) = self.disks.entry(name.clone()).or_default();
                         if let Some((first, _)) = work.log.first() {
                             log.split_off(first);
                         }
                         log.extend(work.log);
-                        *vote = work.vote.or(vote.take());
+                        *hard_state = work.hard_state.or(hard_state.take());
                         let messages = work.immediate_messages.into_iter().chain(voter.write_done());
                         sent.extend(messages.map(|(to, bytes)| (name.clone(), to, bytes)));
                     }
@@ -82,7 +82,7 @@
 }
 
 fn serving(name: &str) -> SeenNode {
-    SeenNode { name: name.into(), zone: "z".into(), incarnation: 1, standing: Standing::Serving }
+    SeenNode { name: name.into(), zone: "z".into(), incarnation: 1, status: NodeStatus::Serving }
 }
 
 fn ask(node: &str, request: u128) -> Entry {
@@ -95,7 +95,7 @@
     cluster.run(100);
     let leader = cluster.leader().expect("a leader");
     let view = [serving("n1"), serving("n2"), serving("n3"), serving("n4")];
-    cluster.voters.get_mut(&leader).unwrap().sees(&view);
+    cluster.voters.get_mut(&leader).unwrap().update_view(&view);
     cluster.run(3);
     let follower = cluster.names.iter().find(|name| **name != leader).unwrap().clone();
     cluster.voters.get_mut(&follower).unwrap().propose(&ask("n1", 1));
@@ -104,7 +104,7 @@
     // The leader is cut off. Its proposals are not committed, whether or not it still believes that it leads.
     cluster.cut_off = vec![leader.clone()];
     let old_leader = cluster.voters.get_mut(&leader).unwrap();
-    old_leader.propose(&Entry::Budget(Scope::Fleet, Most::Number(9)));
+    old_leader.propose(&Entry::Budget(Scope::Fleet, BudgetLimit::Number(9)));
     old_leader.propose(&ask("n2", 2));
     cluster.run(100);
     assert_eq!(cluster.voters[&leader].state().answer(2), Answer::Unknown);
@@ -129,11 +129,11 @@
 fn a_log_that_ends_before_its_commit_index_is_refused() {
     let mut cluster = Cluster::new();
     cluster.run(100);
-    let (mut log, vote) = cluster.disks["a"].clone();
+    let (mut log, hard_state) = cluster.disks["a"].clone();
     let last = *log.keys().last().unwrap();
     log.remove(&last);
-    let kept = Kept { vote, log: log.into_values().collect() };
-    assert!(Voter::new("a", &cluster.names, kept, 1, &quiet()).is_err());
+    let persisted = PersistedState { hard_state, log: log.into_values().collect() };
+    assert!(Voter::new("a", &cluster.names, persisted, 1, &quiet()).is_err());
 }
 
 /// The folder was restored from an older copy: its voter has acknowledged entries that it no longer has.
@@ -144,7 +144,7 @@
     let leader = cluster.leader().expect("a leader");
     let other = cluster.names.iter().find(|name| **name != leader).unwrap().clone();
     let old_disk = cluster.disks[&other].clone();
-    cluster.voters.get_mut(&leader).unwrap().sees(&[serving("n1")]);
+    cluster.voters.get_mut(&leader).unwrap().update_view(&[serving("n1")]);
     cluster.run(3);
     cluster.voters.get_mut(&leader).unwrap().propose(&ask("n1", 1));
     cluster.run(3);
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -10,7 +10,7 @@
 /// The largest frame: 4,096 nodes with the longest names and words, some 700 bytes each.
 pub const MAX_FRAME_BYTES: usize = 3 << 20;
 /// What of a datagram is left for `foca`: less the seal, sequence and number.
-pub(crate) const GOSSIP: usize = MAX_DATAGRAM_BYTES - hopmoor_seal::OVERHEAD - 11;
+pub(crate) const GOSSIP: usize = MAX_DATAGRAM_BYTES - hopmoor_seal::OVERHEAD_BYTES - 11;
 
 /// One of our own messages beside `foca`'s.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/seal/src/keys.rs
+++ b/crates/seal/src/keys.rs
@@ -65,29 +65,29 @@
     }
 
     /// All keys of these sets, sealing with the key of this id; `None` if no set has it.
-    pub fn joined(key_sets: &[Keys], seal_with: u32) -> Option<Keys> {
+    pub fn merged(key_sets: &[Keys], seal_with: u32) -> Option<Keys> {
         let keys: BTreeMap<u32, [u8; KEY_BYTES]> =
             key_sets.iter().flat_map(|keys| keys.keys.clone()).collect();
         keys.contains_key(&seal_with).then_some(Keys { seal_with, keys })
     }
 
     /// The highest key id.
-    pub fn newest(&self) -> u32 {
+    pub fn newest_key_id(&self) -> u32 {
         self.keys.keys().next_back().copied().unwrap_or_default()
     }
 
     /// The id of the sealing key.
-    pub fn seals_with(&self) -> u32 {
+    pub fn sealing_key_id(&self) -> u32 {
         self.seal_with
     }
 
     /// The same keys, sealing with the key of this id; `None` if it is not among them.
-    pub fn sealing_with(&self, id: u32) -> Option<Keys> {
-        Keys::joined(std::slice::from_ref(self), id)
+    pub fn with_sealing_key(&self, id: u32) -> Option<Keys> {
+        Keys::merged(std::slice::from_ref(self), id)
     }
 
     /// Only the key with this id, which seals; `None` if it is not among the keys.
-    pub fn only(&self, id: u32) -> Option<Keys> {
+    pub fn with_only_key(&self, id: u32) -> Option<Keys> {
         self.secret(id).map(|secret| Keys::new(id, secret))
     }
 
--- a/crates/seal/src/lib.rs
+++ b/crates/seal/src/lib.rs
@@ -21,7 +21,7 @@
 const HEADER_BYTES: usize = 1 + 4;
 const TAG_BYTES: usize = 16;
 /// Bytes that sealing adds to the plaintext.
-pub const OVERHEAD: usize = HEADER_BYTES + NONCE_BYTES + TAG_BYTES;
+pub const OVERHEAD_BYTES: usize = HEADER_BYTES + NONCE_BYTES + TAG_BYTES;
 
 /// The purpose of sealed bytes. The values are part of the format: a value is never reused for another
 /// purpose.
@@ -38,7 +38,7 @@
 
 /// Why sealed bytes were refused. For counters and the log only; the sender is never told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsealed {
+pub enum UnsealError {
     /// Too short, or of another kind.
     Malformed,
     /// Sealed under a key that is not in the key file.
@@ -47,12 +47,12 @@
     Forged,
 }
 
-impl fmt::Display for Unsealed {
+impl fmt::Display for UnsealError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unsealed::Malformed => "malformed",
-            Unsealed::UnknownKey => "unknown key",
-            Unsealed::Forged => "forged",
+            UnsealError::Malformed => "malformed",
+            UnsealError::UnknownKey => "unknown key",
+            UnsealError::Forged => "forged",
         })
     }
 }
@@ -65,7 +65,7 @@
 /// plaintext is too long for the cipher.
 pub fn seal(keys: &Keys, kind: Kind, plaintext: &[u8], nonce: [u8; NONCE_BYTES]) -> Option<Vec<u8>> {
     let (id, key) = keys.sealing_key();
-    let mut sealed = Vec::with_capacity(plaintext.len() + OVERHEAD);
+    let mut sealed = Vec::with_capacity(plaintext.len() + OVERHEAD_BYTES);
     sealed.push(kind as u8);
     sealed.extend_from_slice(&id.to_le_bytes());
     let payload = Payload { msg: plaintext, aad: &sealed };
@@ -80,21 +80,21 @@
 ///
 /// # Errors
 /// If the bytes are malformed or of another kind, sealed under an unknown key, or not authentic.
-pub fn open(keys: &Keys, kind: Kind, bytes: &[u8]) -> Result<Vec<u8>, Unsealed> {
+pub fn open(keys: &Keys, kind: Kind, bytes: &[u8]) -> Result<Vec<u8>, UnsealError> {
     let Some((&[first, a, b, c, d], rest)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
-        return Err(Unsealed::Malformed);
+        return Err(UnsealError::Malformed);
     };
     if first != kind as u8 {
-        return Err(Unsealed::Malformed);
+        return Err(UnsealError::Malformed);
     }
-    let (nonce, ciphertext) = rest.split_first_chunk::<NONCE_BYTES>().ok_or(Unsealed::Malformed)?;
+    let (nonce, ciphertext) = rest.split_first_chunk::<NONCE_BYTES>().ok_or(UnsealError::Malformed)?;
     let secret = keys.secret(u32::from_le_bytes([a, b, c, d]));
     let payload = Payload { msg: ciphertext, aad: &bytes[..HEADER_BYTES] };
     let plaintext = cipher(secret.unwrap_or_default()).decrypt(&XNonce::from(*nonce), payload);
     if secret.is_none() {
-        return Err(Unsealed::UnknownKey);
+        return Err(UnsealError::UnknownKey);
     }
-    plaintext.map_err(|_| Unsealed::Forged)
+    plaintext.map_err(|_| UnsealError::Forged)
 }
 
 #[cfg(test)]
--- a/src/broker/adoption/tests.rs
+++ b/src/broker/adoption/tests.rs
@@ -124,7 +124,7 @@
     let id = standing(&mut bench, "z", 40_000.0);
     for second in 1..15 {
         bench.run(1_000.0 * f64::from(second));
-        bench.broker.call_failed(bench.now, CallFailure::Down);
+        bench.broker.discovery_call_failed(bench.now, CallFailure::Down);
     }
     assert_eq!(opened(&bench.commands(id)), Vec::<String>::new());
     bench.list(list(true, vec![member("a", Phase::Serving), member("z", Phase::Serving)]));
--- a/src/broker/flows.rs
+++ b/src/broker/flows.rs
@@ -149,7 +149,7 @@
             .collect();
         for (id, committed, written) in ids {
             if committed {
-                self.send_away(now, id, record::Reason::Negotiation);
+                self.send_away(now, id, record::MoveReason::Negotiation);
             } else {
                 let outcome = if written { Outcome::Cancelled } else { Outcome::NotSent };
                 self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -1,7 +1,7 @@
 //! What fronts and drivers say to the broker, and what it tells them to do.
 
 use crate::api::*;
-use hopmoor_record::Reason;
+use hopmoor_record::MoveReason;
 
 /// Number of a transaction: one client connection's one request.
 pub type TransactionId = RequestId;
@@ -201,7 +201,7 @@
         started_ago_ms: Option<Millis>,
     },
     /// A client was moved away from a member.
-    Moved(TransactionId, String, Reason),
+    Moved(TransactionId, String, MoveReason),
     /// A transaction was rejected or failed, after so many flows and so long.
     Unserved {
         /// Which.
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -182,7 +182,7 @@
     }
 
     /// Whether the list at hand holds.
-    pub fn list_holds(&self, now: Millis) -> bool {
+    pub fn list_lease_valid(&self, now: Millis) -> bool {
         self.lease.is_valid(now)
     }
 
@@ -206,8 +206,8 @@
     }
 
     /// A call to discovery has failed.
-    pub fn call_failed(&mut self, now: Millis, failure: CallFailure) {
-        self.lease.call_failed(now, failure);
+    pub fn discovery_call_failed(&mut self, now: Millis, failure: CallFailure) {
+        self.lease.discovery_call_failed(now, failure);
         if self.lease.is_valid(now) {
             self.unpark(now);
         }
@@ -281,7 +281,7 @@
     }
 
     /// A member's number.
-    pub fn member_named(&self, name: &str) -> Option<BackendId> {
+    pub fn find_member(&self, name: &str) -> Option<BackendId> {
         self.pool.named(name)
     }
 
@@ -460,7 +460,7 @@
             }
             Action::Move { id } => {
                 if matches!(self.transactions.get(&id), Some(t) if t.stage == Stage::Up) {
-                    self.send_away(now, id, record::Reason::Relief);
+                    self.send_away(now, id, record::MoveReason::Relief);
                 }
             }
             Action::Refuse { id, retry_after_ms } => self.answer(now, id, Command::Reject(retry_after_ms)),
--- a/src/broker/moves.rs
+++ b/src/broker/moves.rs
@@ -4,7 +4,7 @@
 use super::recorder::number;
 use super::{Broker, Command, DriverCommand, Due, LogLine, Stage, Transaction, TransactionId};
 use crate::api::*;
-use hopmoor_record::{self as record, Reason};
+use hopmoor_record::{self as record, MoveReason};
 
 /// Clients of a member that drains are moved over this time, those of one that is gone over the next.
 const DRAIN_MS: Millis = 5_000.0;
@@ -28,7 +28,7 @@
     }
 
     /// Moves a client: its connection, or what has been negotiated of it, ends in good order.
-    pub(super) fn send_away(&mut self, now: Millis, id: TransactionId, reason: Reason) {
+    pub(super) fn send_away(&mut self, now: Millis, id: TransactionId, reason: MoveReason) {
         let Some(t) = self.forget(id) else { return };
         let Some(backend) = t.member else { return };
         self.counters.moved += 1;
@@ -47,7 +47,7 @@
         let Some(t) = self.transactions.get(&id).filter(|t| t.stage == Stage::Up) else { return };
         let (member, stood_ms) = (t.member, Some((now - t.sent) as f32));
         if let Some(member) = member {
-            let (member, reason) = (number(member), Reason::Member);
+            let (member, reason) = (number(member), MoveReason::Member);
             self.recorder.note(now, || record::Moved { transaction: id.0, member, reason, stood_ms }.into());
         }
         self.flow_over(now, id, Outcome::Cancelled, None);
@@ -104,7 +104,7 @@
         let standing = self.transactions.values().filter(|t| t.stage == Stage::Up).count();
         self.stepping = match self.leaving.due(now, standing) {
             Some(due) => {
-                self.move_some(now, due, Reason::Leaving, |_| true);
+                self.move_some(now, due, MoveReason::Leaving, |_| true);
                 self.timers.set(now + STEP_MS, Due::Leave);
                 true
             }
@@ -115,7 +115,7 @@
     /// A member leaves: its clients are told to move before it goes, bit by bit, whether or not it tells them.
     pub(super) fn drain_step(&mut self, now: Millis, member: BackendId, mut spread: Spread) {
         if !self.pool.serving(member) {
-            let reason = if self.pool.listed(member) { Reason::Draining } else { Reason::Gone };
+            let reason = if self.pool.listed(member) { MoveReason::Draining } else { MoveReason::Gone };
             let there = |t: &Transaction| t.member == Some(member);
             let up = self.transactions.values().filter(|t| t.stage == Stage::Up && there(t)).count();
             self.move_some(now, spread.due(now, up), reason, there);
@@ -125,7 +125,13 @@
         }
     }
 
-    fn move_some(&mut self, now: Millis, most: usize, reason: Reason, which: impl Fn(&Transaction) -> bool) {
+    fn move_some(
+        &mut self,
+        now: Millis,
+        most: usize,
+        reason: MoveReason,
+        which: impl Fn(&Transaction) -> bool,
+    ) {
         let up = self.transactions.iter().filter(|(_, t)| t.stage == Stage::Up && which(t));
         let due: Vec<_> = up.map(|(id, _)| *id).take(most).collect();
         for id in due {
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -12,12 +12,12 @@
 const BODY: usize = 4 * 1024 * 1024;
 
 /// The request for the whole list.
-pub fn whole(authority: &str) -> String {
+pub fn full_list_request(authority: &str) -> String {
     format!("GET /v1/endpoints HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n")
 }
 
 /// The request for what is newer than `seq`, waited for up to `wait_ms`.
-pub fn since(authority: &str, seq: u64, wait_ms: u64) -> String {
+pub fn changes_request(authority: &str, seq: u64, wait_ms: u64) -> String {
     format!(
         "GET /v1/endpoints?since={seq}&timeout_ms={wait_ms} HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n"
     )
--- a/src/drill.rs
+++ b/src/drill.rs
@@ -362,7 +362,7 @@
     }
 
     /// How many requests' ids are held for all relays.
-    pub fn held_ids(&self) -> usize {
+    pub fn tracked_requests(&self) -> usize {
         self.gateways.values().map(|gateway| gateway.requests.len()).sum()
     }
 }
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -60,7 +60,7 @@
     }
 
     /// A call has failed. While discovery is down nothing counts as told.
-    pub fn call_failed(&mut self, now: Millis, failure: CallFailure) {
+    pub fn discovery_call_failed(&mut self, now: Millis, failure: CallFailure) {
         if failure == CallFailure::Down {
             self.until = self.until.max(now + self.length);
         }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,6 +1,6 @@
 //! How the view of the fleet is told to those who agree on drains.
 
-use hopmoor_agree::{SeenNode, Standing};
+use hopmoor_agree::{NodeStatus, SeenNode};
 use hopmoor_fleet::{NodeView, Readiness, State, View};
 
 /// The nodes as the log has them.
@@ -9,18 +9,18 @@
         name: seen_nodes.id.name.to_string(),
         zone: seen_nodes.info.as_ref().map(|info| info.zone.clone()).unwrap_or_default(),
         incarnation: seen_nodes.id.incarnation,
-        standing: standing(seen_nodes),
+        status: status(seen_nodes),
     });
     seen_nodes.collect()
 }
 
-fn standing(seen_nodes: &NodeView) -> Standing {
+fn status(seen_nodes: &NodeView) -> NodeStatus {
     match (seen_nodes.state, seen_nodes.info.as_ref().map(|info| info.ready)) {
-        (State::Dead, _) => Standing::Dead,
-        (State::Left, _) | (_, Some(Readiness::Left)) => Standing::Left,
-        (_, Some(Readiness::Serving)) => Standing::Serving,
-        (_, Some(Readiness::Draining)) => Standing::Draining,
-        (_, Some(Readiness::Ending)) => Standing::Ending,
-        _ => Standing::NotReady,
+        (State::Dead, _) => NodeStatus::Dead,
+        (State::Left, _) | (_, Some(Readiness::Left)) => NodeStatus::Left,
+        (_, Some(Readiness::Serving)) => NodeStatus::Serving,
+        (_, Some(Readiness::Draining)) => NodeStatus::Draining,
+        (_, Some(Readiness::Ending)) => NodeStatus::Ending,
+        _ => NodeStatus::NotReady,
     }
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -9,16 +9,16 @@
 /// A fleet and what comes to it.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmupScenario {
-    pub gateways: u32,
+    pub nodes: u32,
     pub members: u64,
     /// Of them just started; with zones, all of the first zone and no others.
-    pub cold: u64,
+    pub cold_members: u64,
     /// Requests a second inside all shares.
     pub rate: f64,
     /// What comes, over that.
-    pub load: f64,
+    pub load_factor: f64,
     /// So many come at once as the members start, over the rate.
-    pub storm: f64,
+    pub surge: f64,
     /// Groups; none where requests have none.
     pub groups: u64,
     /// Gateways differ by up to so many times in what they get.
@@ -30,7 +30,7 @@
     /// Zones, over which gateways and members are spread evenly.
     pub zones: u32,
     /// The gateways of the first zone start with the cold members, and know nothing of before.
-    pub restarted: bool,
+    pub nodes_restarted: bool,
 }
 
 impl WarmupScenario {
@@ -41,7 +41,7 @@
 
     /// Whether a member, by its number from 0, has just started.
     fn is_cold(self, member: u64) -> bool {
-        if self.zones > 1 { self.in_first_zone(member) } else { member < self.cold }
+        if self.zones > 1 { self.in_first_zone(member) } else { member < self.cold_members }
     }
 }
 
@@ -61,7 +61,7 @@
         vec![Tenant { quota_connections: play.rate * 40.0, quota_rate: play.rate, ..Tenant::default() }];
     let settings = |at: u32| Settings {
         zone: ZoneId(at % play.zones),
-        balancers: play.gateways,
+        balancers: play.nodes,
         tenants: tenants.clone(),
         start_capacity: play.start,
         warm_up_ms: play.warm,
@@ -75,7 +75,7 @@
     let mut draw = Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let begins = 30_000.0;
     let mut fleet: Vec<Fast> =
-        (0..play.gateways).map(|at| Fast::new(settings(at), seed * 10_000 + u64::from(at))).collect();
+        (0..play.nodes).map(|at| Fast::new(settings(at), seed * 10_000 + u64::from(at))).collect();
     let all = |born: Option<f64>| -> Vec<BackendInfo> {
         let zone = |id: u64| ZoneId((id % u64::from(play.zones)) as u32);
         let one = |id| BackendInfo {
@@ -89,11 +89,11 @@
         gateway.give(0.0, Event::Backends { scope: ListScope::Whole, entries: all(None) });
     }
     // Shares of the traffic: some gateways get several times the mean.
-    let shares: Vec<f64> = (0..play.gateways).map(|_| play.uneven.powf(2.0 * draw.next() - 1.0)).collect();
+    let shares: Vec<f64> = (0..play.nodes).map(|_| play.uneven.powf(2.0 * draw.next() - 1.0)).collect();
     let sum: f64 = shares.iter().sum();
     let mut comes: Vec<(f64, usize)> = Vec::new();
     for (at, share) in shares.iter().enumerate() {
-        let each = play.rate * play.load * share / sum / 1_000.0;
+        let each = play.rate * play.load_factor * share / sum / 1_000.0;
         let mut time = 0.0;
         loop {
             time += -(1.0 - draw.next()).ln() / each;
@@ -103,8 +103,8 @@
             comes.push((time, at));
         }
     }
-    for _ in 0..(play.storm * play.rate) as usize {
-        comes.push((begins + 100.0 + 900.0 * draw.next(), (draw.next() * f64::from(play.gateways)) as usize));
+    for _ in 0..(play.surge * play.rate) as usize {
+        comes.push((begins + 100.0 + 900.0 * draw.next(), (draw.next() * f64::from(play.nodes)) as usize));
     }
     comes.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut sent: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
@@ -114,7 +114,7 @@
         if time >= begins && !listed {
             listed = true;
             for (at, gateway) in (0_u32..).zip(&mut fleet) {
-                if play.restarted && play.in_first_zone(u64::from(at)) {
+                if play.nodes_restarted && play.in_first_zone(u64::from(at)) {
                     *gateway = Fast::new(settings(at), seed * 20_000 + u64::from(at));
                 }
                 gateway.give(begins, Event::Backends { scope: ListScope::Whole, entries: all(Some(begins)) });
@@ -124,7 +124,7 @@
             ends.peek().copied().filter(|e| (e.0.0 as f64) < time)
         {
             ends.pop();
-            if !(play.restarted && listed && play.in_first_zone(node as u64) && (end as f64) < begins) {
+            if !(play.nodes_restarted && listed && play.in_first_zone(node as u64) && (end as f64) < begins) {
                 fleet[node].end(end as f64, id, BackendId(to));
             }
         }
@@ -217,12 +217,12 @@
 
 /// Two settings as operators state them: 3 times for 3 s from an eighth on, 4 times for 1 s from a third on.
 pub const SLOW: WarmupScenario = WarmupScenario {
-    gateways: 30,
+    nodes: 30,
     members: 12,
-    cold: 6,
+    cold_members: 6,
     rate: 12.0,
-    load: 0.8,
-    storm: 0.0,
+    load_factor: 0.8,
+    surge: 0.0,
     groups: 20,
     uneven: 3.0,
     factor: 3.0,
@@ -230,11 +230,11 @@
     start: 0.12,
     warm: 24_000.0,
     zones: 1,
-    restarted: false,
+    nodes_restarted: false,
 };
 pub const QUICK: WarmupScenario = WarmupScenario {
     members: 10,
-    cold: 5,
+    cold_members: 5,
     rate: 20.0,
     groups: 30,
     factor: 4.0,
@@ -253,7 +253,8 @@
     groups: 30,
     ..SLOW
 };
-pub const TWENTY: WarmupScenario = WarmupScenario { gateways: 20, members: 10, cold: 3, rate: 20.0, ..SLOW };
+pub const TWENTY: WarmupScenario =
+    WarmupScenario { nodes: 20, members: 10, cold_members: 3, rate: 20.0, ..SLOW };
 
 /// The largest excess over these seeds, and the least that newcomers got.
 pub fn worst(play: WarmupScenario, seeds: u64) -> (f64, f64) {
