--- a/crates/agree/src/participant.rs
+++ b/crates/agree/src/participant.rs
@@ -92,14 +92,12 @@
     /// empty.
     pub fn folder_opened(&mut self, stored: Option<(Vec<u8>, PersistedState)>) {
         match stored {
-            Some((founder_bytes, persisted)) => {
-                match postcard::from_bytes::<(String, Founders)>(&founder_bytes) {
-                    // With copies of one folder, two voters would cast the same vote twice.
-                    Ok((owner, _)) if owner != self.me => self.stop(&format!("the folder is {owner}'s")),
-                    Ok((_, founders)) => self.start_voting(founders, persisted),
-                    Err(_) => self.stop("the folder does not say who founded the log"),
-                }
-            }
+            Some((bytes, persisted)) => match postcard::from_bytes::<(String, Founders)>(&bytes) {
+                // With copies of one folder, two voters would cast the same vote twice.
+                Ok((owner, _)) if owner != self.me => self.stop(&format!("the folder is {owner}'s")),
+                Ok((_, founders)) => self.start_voting(founders, persisted),
+                Err(_) => self.stop("the folder does not say who founded the log"),
+            },
             None => self.bootstrap = Some(Bootstrap::new(&self.me, &self.voters, self.seed)),
         }
     }
@@ -188,7 +186,7 @@
 
     /// Whether this voter believes that it is the leader. Only a leader's view is of use to [`Participant::update_view`].
     pub fn is_leader(&self) -> bool {
-        self.voter.as_ref().is_some_and(Voter::leads)
+        self.voter.as_ref().is_some_and(Voter::is_leader)
     }
 
     /// Takes the nodes of the current view, for the leader to propose what differs from the log.
@@ -264,7 +262,9 @@
                 self.founders = Some(founders);
             }
             BootstrapOutcome::FolderLost => {
-                self.stop("its folder was lost: the other voters founded the log with an earlier start of this voter");
+                self.stop(
+                    "its folder was lost: the others founded the log with an earlier start of this voter",
+                );
             }
         }
     }
@@ -335,13 +335,13 @@
             match self.voter.as_mut()?.pending_write() {
                 Ok(None) => return None,
                 Err(error) => self.stop(&error.to_string()),
-                Ok(Some(mut work)) => {
-                    self.send_log_messages(std::mem::take(&mut work.immediate_messages));
+                Ok(Some(mut write)) => {
+                    self.send_log_messages(std::mem::take(&mut write.immediate_messages));
                     self.write_in_progress = true;
-                    if work.log.is_empty() && work.hard_state.is_none() {
+                    if write.log.is_empty() && write.hard_state.is_none() {
                         self.persisted();
                     } else {
-                        self.actions.push_back(Action::Persist(work));
+                        self.actions.push_back(Action::Persist(write));
                     }
                 }
             }
@@ -368,7 +368,7 @@
                     if *node == permit.node && Some(*fence) == permit.fence)
             })
         };
-        if changes.is_empty() || !voter.leads() {
+        if changes.is_empty() || !voter.is_leader() {
             return;
         }
         let granted: Vec<Permit> = voter.state().permits().iter().filter(granted).cloned().collect();
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -110,9 +110,9 @@
         self.index = index;
         let mut changes = Vec::new();
         match entry {
-            Entry::Budget(scope, most) => {
+            Entry::Budget(scope, limit) => {
                 if self.budgets.len() < MAX_BUDGETS || self.budgets.contains_key(&scope) {
-                    self.budgets.insert(scope, most);
+                    self.budgets.insert(scope, limit);
                 }
             }
             Entry::Seen(nodes) => nodes.into_iter().for_each(|node| self.update_node(node, &mut changes)),
@@ -223,12 +223,12 @@
         if !self.nodes.contains_key(&permit.node) {
             return Some(format!("{} is not yet seen by the voters", permit.node));
         }
-        self.budgets.iter().find_map(|(scope, most)| {
+        self.budgets.iter().find_map(|(scope, limit)| {
             let all: Vec<&str> = self.in_scope(scope).collect();
             if !all.contains(&permit.node.as_str()) {
                 return None;
             }
-            let limit = most.of(all.len());
+            let limit = limit.of(all.len());
             let out: Vec<(&str, String)> =
                 all.iter().filter_map(|name| Some((*name, self.why_out(name)?))).collect();
             let out_if_granted = out.len() + usize::from(out.iter().all(|(name, _)| *name != permit.node));
@@ -275,7 +275,7 @@
 
     /// The budgets in force.
     pub fn budgets(&self) -> impl Iterator<Item = (&Scope, BudgetLimit)> {
-        self.budgets.iter().map(|(scope, most)| (scope, *most))
+        self.budgets.iter().map(|(scope, limit)| (scope, *limit))
     }
 
     /// The index of the last applied entry.
--- a/crates/agree/src/voter.rs
+++ b/crates/agree/src/voter.rs
@@ -202,7 +202,7 @@
 
     /// As the leader, proposes what differs between this view and the log.
     pub fn update_view(&mut self, view: &[SeenNode]) {
-        if !self.leads()
+        if !self.is_leader()
             || self.view_proposed_at.is_some_and(|at| self.ticks < at + VIEW_PROPOSAL_INTERVAL_TICKS)
         {
             return;
@@ -215,7 +215,7 @@
     }
 
     /// Whether this voter believes that it is the leader.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.raft.raft.state == StateRole::Leader
     }
 
@@ -272,11 +272,12 @@
         let mut ready = self.raft.ready();
         let immediate = ready.take_messages();
         let after_write = ready.take_persisted_messages();
-        let mut work = PendingWrite { immediate_messages: self.encode(immediate), ..PendingWrite::default() };
+        let mut write =
+            PendingWrite { immediate_messages: self.encode(immediate), ..PendingWrite::default() };
         for entry in ready.entries() {
-            work.log.push((entry.index, entry.write_to_bytes()?));
+            write.log.push((entry.index, entry.write_to_bytes()?));
         }
-        work.hard_state = ready.hs().map(HardState::write_to_bytes).transpose()?;
+        write.hard_state = ready.hs().map(HardState::write_to_bytes).transpose()?;
         let mut store = self.raft.mut_store().wl();
         store.append(ready.entries())?;
         if let Some(hard_state) = ready.hs() {
@@ -290,7 +291,7 @@
         self.raft.advance_append_async(ready);
         self.apply(committed)?;
         self.raft.advance_apply();
-        Ok(Some(work))
+        Ok(Some(write))
     }
 
     /// The write from [`Voter::pending_write`] is on disk. Returns the messages that may be sent now.
--- a/crates/agree/src/voter/tests.rs
+++ b/crates/agree/src/voter/tests.rs
@@ -49,14 +49,14 @@
             loop {
                 let mut sent = Vec::new();
                 for (name, voter) in &mut self.voters {
-                    while let Some(work) = voter.pending_write().unwrap() {
+                    while let Some(write) = voter.pending_write().unwrap() {
                         let (log, hard_state) = self.disks.entry(name.clone()).or_default();
-                        if let Some((first, _)) = work.log.first() {
+                        if let Some((first, _)) = write.log.first() {
                             log.split_off(first);
                         }
-                        log.extend(work.log);
-                        *hard_state = work.hard_state.or(hard_state.take());
-                        let messages = work.immediate_messages.into_iter().chain(voter.write_done());
+                        log.extend(write.log);
+                        *hard_state = write.hard_state.or(hard_state.take());
+                        let messages = write.immediate_messages.into_iter().chain(voter.write_done());
                         sent.extend(messages.map(|(to, bytes)| (name.clone(), to, bytes)));
                     }
                 }
@@ -76,7 +76,7 @@
     }
 
     fn leader(&self) -> Option<String> {
-        let leaders = self.voters.iter().filter(|(_, voter)| voter.leads());
+        let leaders = self.voters.iter().filter(|(_, voter)| voter.is_leader());
         leaders.max_by_key(|(_, voter)| voter.term()).map(|(name, _)| name.clone())
     }
 }
--- a/crates/vote/src/lib.rs
+++ b/crates/vote/src/lib.rs
@@ -96,20 +96,20 @@
     ///
     /// # Errors
     /// If the write fails, or may not have reached the disk. The voter must send no message after that.
-    pub fn persist(&self, work: &PendingWrite) -> Result<(), StoreError> {
-        if work.log.is_empty() && work.hard_state.is_none() {
+    pub fn persist(&self, write: &PendingWrite) -> Result<(), StoreError> {
+        if write.log.is_empty() && write.hard_state.is_none() {
             return Ok(());
         }
         let transaction = self.database.begin_write().map_err(store_error)?;
         {
             let mut log = transaction.open_table(LOG_TABLE).map_err(store_error)?;
-            if let Some((from, _)) = work.log.first() {
+            if let Some((from, _)) = write.log.first() {
                 log.retain_in(*from.., |_, _| false).map_err(store_error)?;
             }
-            for (index, entry) in &work.log {
+            for (index, entry) in &write.log {
                 log.insert(index, entry.as_slice()).map_err(store_error)?;
             }
-            if let Some(hard_state) = &work.hard_state {
+            if let Some(hard_state) = &write.hard_state {
                 transaction
                     .open_table(VALUES_TABLE)
                     .map_err(store_error)?
