--- a/crates/agree/src/participant.rs
+++ b/crates/agree/src/participant.rs
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Whether this voter believes that it is the leader. Only a leader's view is of use to [`Participant::update_view`].
+    /// Whether this voter believes that it is the leader. Only a leader's view is of use to
+    /// [`Participant::update_view`].
     pub fn is_leader(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::is_leader)
     }
