--- a/crates/agree/src/permit_client/tests.rs
+++ b/crates/agree/src/permit_client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn it_drains_only_on_a_grant_of_what_it_still_asks() {
+fn only_a_grant_of_the_current_request_starts_a_drain() {
     let mut permit_client = PermitClient::default();
     permit_client.request_permit(1);
     assert_eq!(
@@ -11,10 +11,10 @@
     assert!(permit_client.due(1_010, "n", 5).is_empty());
     assert!(!permit_client.answered(1, Answer::Waiting("full".into()), 5));
     assert_eq!(permit_client.status_text().unwrap(), "waiting: full");
-    // Withdrawn; the grant comes late, and doubled.
+    // The request is withdrawn; its grant arrives late, and twice.
     permit_client.release();
     assert!(!permit_client.answered(1, Answer::Granted { fence: 7, incarnation: 5 }, 5));
-    assert_eq!(permit_client.due(2_000, "n", 5), [Entry::Back(1)]);
+    assert_eq!(permit_client.due(2_000, "n", 5), [Entry::Release(1)]);
     permit_client.request_permit(2);
     assert!(!permit_client.answered(1, Answer::Granted { fence: 7, incarnation: 5 }, 5));
     assert!(!permit_client.answered(1, Answer::Over, 5));
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn a_grant_to_an_earlier_coming_is_none() {
+fn a_grant_to_an_earlier_incarnation_starts_no_drain() {
     let mut permit_client = PermitClient::default();
     permit_client.request_permit(1);
     assert!(!permit_client.answered(1, Answer::Granted { fence: 7, incarnation: 5 }, 6));
-    // That one is over, and it asks anew.
+    // The earlier incarnation's request has ended, so the node requests anew under another number.
     assert!(!permit_client.answered(1, Answer::Over, 6));
     assert_eq!(
         permit_client.due(1_000, "n", 6),
--- a/crates/vote/src/tests.rs
+++ b/crates/vote/src/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn what_was_kept_is_there_and_a_later_log_takes_the_place_of_an_earlier() {
-    let at = tempfile::tempdir().unwrap();
-    let folder = VoterStore::open(at.path()).unwrap();
+fn written_state_is_read_back_and_a_later_log_replaces_the_earlier_from_its_first_index() {
+    let directory = tempfile::tempdir().unwrap();
+    let folder = VoterStore::open(directory.path()).unwrap();
     assert!(folder.read().unwrap().is_none());
     folder.persist_founders(b"all").unwrap();
     let log = |from: u64, texts: &[&str]| {
@@ -17,21 +17,21 @@
             ..PendingWrite::default()
         })
         .unwrap();
-    // Another process can't have it at the same time.
-    assert!(VoterStore::open(at.path()).is_err());
+    // Nobody else can open the folder at the same time.
+    assert!(VoterStore::open(directory.path()).is_err());
     drop(folder);
-    let (founders, persisted) = VoterStore::open(at.path()).unwrap().read().unwrap().unwrap();
+    let (founders, persisted) = VoterStore::open(directory.path()).unwrap().read().unwrap().unwrap();
     assert_eq!((founders, persisted.hard_state), (b"all".to_vec(), Some(b"v".to_vec())));
     assert_eq!(persisted.log, [b"a".to_vec(), b"x".to_vec()]);
 }
 
 #[test]
-fn a_torn_file_is_refused() {
-    let at = tempfile::tempdir().unwrap();
-    VoterStore::open(at.path()).unwrap().persist_founders(b"all").unwrap();
-    let file = at.path().join("vote.redb");
-    let whole = std::fs::read(&file).unwrap();
-    std::fs::write(&file, &whole[..whole.len() / 3]).unwrap();
-    let read = VoterStore::open(at.path()).and_then(|folder| folder.read());
-    assert!(read.is_err(), "{:?}", read.is_ok());
+fn a_truncated_database_is_refused() {
+    let directory = tempfile::tempdir().unwrap();
+    VoterStore::open(directory.path()).unwrap().persist_founders(b"all").unwrap();
+    let path = directory.path().join("vote.redb");
+    let whole = std::fs::read(&path).unwrap();
+    std::fs::write(&path, &whole[..whole.len() / 3]).unwrap();
+    let result = VoterStore::open(directory.path()).and_then(|folder| folder.read());
+    assert!(result.is_err(), "{:?}", result.is_ok());
 }
