--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -63,7 +63,7 @@
 }
 
 impl Fleet {
-    /// Whether the view has been stable for [`SETTLE_TIME_MS`] and this node still owns its name.
+    /// Whether the view has been stable for the settle time of 3 s and this node still owns its name.
     pub fn is_settled(&self, now: Millis) -> bool {
         self.settling.is_settled(now) && !self.rejoin_state.is_superseded()
     }
