--- a/crates/ops/src/console/app.rs
+++ b/crates/ops/src/console/app.rs
@@ -1,8 +1,8 @@
 //! What the console shows and what keys do; knows no terminal.
 
 use super::source::Source;
-use hopmoor_incident::Board;
-use hopmoor_incident::board::Line;
+use hopmoor_incident::Dashboard;
+use hopmoor_incident::dashboard::EventLine;
 use ratatui::crossterm::event::{KeyCode, KeyEvent, KeyModifiers};
 use std::time::Instant;
 
@@ -71,7 +71,7 @@
     /// Where records come from.
     pub source: Source,
     /// How things stand.
-    pub board: Board,
+    pub dashboard: Dashboard,
     /// First member shown.
     pub first: usize,
     /// Events back from the newest.
@@ -92,7 +92,7 @@
     pub fn new(source: Source) -> App {
         App {
             source,
-            board: Board::default(),
+            dashboard: Dashboard::default(),
             first: 0,
             back: 0,
             filter: String::new(),
@@ -113,12 +113,12 @@
     pub fn advance(&mut self, now: Instant) {
         let passed = self.last.map_or(0.0, |last| now.duration_since(last).as_secs_f64() * 1_000.0);
         self.last = Some(now);
-        self.source.advance(passed, &mut self.board);
+        self.source.advance(passed, &mut self.dashboard);
     }
 
     /// Goes to a time; earlier ones are read from the beginning again.
     pub fn seek(&mut self, to: f64) {
-        if self.source.seek(to, &mut self.board) {
+        if self.source.seek(to, &mut self.dashboard) {
             self.back = 0;
         }
     }
@@ -129,7 +129,7 @@
     }
 
     /// Whether an event is shown.
-    pub fn shows(&self, line: &Line) -> bool {
+    pub fn shows(&self, line: &EventLine) -> bool {
         let kind = match self.kind() {
             "all" => true,
             "bad" => line.bad,
@@ -157,7 +157,7 @@
             }
             return;
         }
-        let at = self.source.now(&self.board);
+        let at = self.source.now(&self.dashboard);
         match key {
             Keys::Char('q') => self.over = true,
             Keys::Escape if self.help => self.help = false,
@@ -177,9 +177,9 @@
             Keys::Char('/') => self.typing = Some(String::new()),
             Keys::Up | Keys::Char('k') => self.first = self.first.saturating_sub(1),
             Keys::Down | Keys::Char('j') => {
-                self.first = (self.first + 1).min(self.board.members.len().saturating_sub(1));
+                self.first = (self.first + 1).min(self.dashboard.members.len().saturating_sub(1));
             }
-            Keys::PageUp => self.back = (self.back + 5).min(self.board.lines.len()),
+            Keys::PageUp => self.back = (self.back + 5).min(self.dashboard.lines.len()),
             Keys::PageDown => self.back = self.back.saturating_sub(5),
             _ => {}
         }
--- a/crates/ops/src/console/source.rs
+++ b/crates/ops/src/console/source.rs
@@ -1,7 +1,7 @@
 //! Where the console's records come from: the tails of folders that nodes write to, or the past.
 
 use crate::{Failed, merged};
-use hopmoor_incident::Board;
+use hopmoor_incident::Dashboard;
 use hopmoor_page::time;
 use hopmoor_record::folder::Item;
 use hopmoor_record::merge::Step;
@@ -56,45 +56,49 @@
     }
 
     /// Lets time pass.
-    pub fn advance(&mut self, passed_ms: f64, board: &mut Board) {
+    pub fn advance(&mut self, passed_ms: f64, dashboard: &mut Dashboard) {
         match self {
-            Source::Live(live) => live.poll(board),
+            Source::Live(live) => live.poll(dashboard),
             Source::Replay(replay) => {
                 if !replay.paused && !replay.ended {
                     replay.at += passed_ms * replay.speed;
                 }
-                replay.read(board);
+                replay.read(dashboard);
             }
         }
     }
 
     /// Goes to a time of a replay; says whether it did.
-    pub fn seek(&mut self, to: f64, board: &mut Board) -> bool {
+    pub fn seek(&mut self, to: f64, dashboard: &mut Dashboard) -> bool {
         let Source::Replay(replay) = self else { return false };
         if to < replay.at {
             // What was taken in can't be taken back: it is read from the beginning again.
             let Ok(records) = merged(&replay.folders) else { return false };
             replay.records = records;
             replay.next = replay.records.next();
-            *board = Board::default();
+            *dashboard = Dashboard::default();
         }
         replay.ended = false;
         replay.at = to.max(replay.from);
-        replay.read(board);
+        replay.read(dashboard);
         if replay.ended {
-            replay.at = board.now;
+            replay.at = dashboard.now;
         }
         true
     }
 
     /// The time that is shown.
-    pub fn now(&self, board: &Board) -> f64 {
+    pub fn now(&self, dashboard: &Dashboard) -> f64 {
         match self {
             Source::Live(_) => {
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
                 let wall = unix.as_secs_f64() * 1_000.0;
                 // Records of another day are looked at from their own end.
-                if (wall - board.now).abs() < 3_600_000.0 { wall.max(board.now) } else { board.now }
+                if (wall - dashboard.now).abs() < 3_600_000.0 {
+                    wall.max(dashboard.now)
+                } else {
+                    dashboard.now
+                }
             }
             Source::Replay(replay) => replay.at,
         }
@@ -134,7 +138,7 @@
 }
 
 impl Live {
-    fn poll(&mut self, board: &mut Board) {
+    fn poll(&mut self, dashboard: &mut Dashboard) {
         if self.paused {
             return;
         }
@@ -158,14 +162,14 @@
             }
         }
         steps.sort_by(|a, b| a.1.total_cmp(&b.1));
-        steps.into_iter().for_each(|(origin, at, step)| board.feed(origin, at, &step));
+        steps.into_iter().for_each(|(origin, at, step)| dashboard.feed(origin, at, &step));
     }
 }
 
 impl Replay {
-    fn read(&mut self, board: &mut Board) {
+    fn read(&mut self, dashboard: &mut Dashboard) {
         while let Some((origin, at, step)) = self.next.take_if(|(_, at, _)| *at <= self.at) {
-            board.feed(origin, at, &step);
+            dashboard.feed(origin, at, &step);
             self.next = self.records.next();
         }
         self.ended = self.next.is_none();
--- a/crates/ops/src/console/view.rs
+++ b/crates/ops/src/console/view.rs
@@ -1,7 +1,7 @@
 //! The screen: head, members, tenants, events and keys. It holds at 80 by 24, and bears less.
 
 use super::app::App;
-use hopmoor_incident::board::{Row, Second};
+use hopmoor_incident::dashboard::{Row, SecondCounts};
 use hopmoor_page::time;
 use ratatui::Frame;
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -26,10 +26,10 @@
 
 /// Draws the console.
 pub fn draw(frame: &mut Frame, app: &App) {
-    let tenants = app.board.tenants();
+    let tenants = app.dashboard.tenants();
     let tenant_rows = if tenants.is_empty() { 0 } else { tenants.len().min(4) as u16 + 2 };
     let half = usize::from(frame.area().height.saturating_sub(6)) / 2 + 1;
-    let members = (app.board.members.len() + 2).min(half).max(4) as u16;
+    let members = (app.dashboard.members.len() + 2).min(half).max(4) as u16;
     let parts = [
         Constraint::Length(1),
         Constraint::Length(members),
@@ -49,16 +49,16 @@
 }
 
 fn draw_head(frame: &mut Frame, app: &App, area: Rect) {
-    let board = &app.board;
-    let now = app.source.now(board);
-    let (served, turned) = board.rates();
+    let dashboard = &app.dashboard;
+    let now = app.source.now(dashboard);
+    let (served, turned) = dashboard.rates();
     let turned_style = if turned > 0.0 { Style::new().fg(Color::Red) } else { Style::new() };
     let mut line = vec![
         Span::from(format!(" {} ", app.source.word())).bold().reversed(),
         Span::from(format!(" {}  served {served:.1}/s  ", time::clock(now))),
         Span::styled(format!("turned away {turned:.1}/s "), turned_style),
     ];
-    for node in &board.nodes {
+    for node in &dashboard.nodes {
         let style = if node.running { Style::new().fg(Color::Green) } else { Style::new().fg(Color::Red) };
         line.push(Span::styled(
             format!(" {} {}", node.name, if node.running { "up" } else { "down" }),
@@ -83,7 +83,7 @@
     const BARS: [char; 9] = ['\u{b7}', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let seconds = row.recent(now, width);
     let most = seconds.iter().map(|second| second.served + second.failed).max().unwrap_or(0).max(4);
-    let bar = |second: &Second| {
+    let bar = |second: &SecondCounts| {
         let sum = second.served + second.failed;
         let height = if sum == 0 { 0 } else { (usize::from(sum) * 8).div_ceil(usize::from(most)).min(8) };
         let style = match (second.failed, second.served) {
@@ -102,8 +102,8 @@
 }
 
 fn draw_members(frame: &mut Frame, app: &App, area: Rect) {
-    let now = app.source.now(&app.board);
-    let rows = app.board.rows();
+    let now = app.source.now(&app.dashboard);
+    let rows = app.dashboard.rows();
     let shown = usize::from(area.height.saturating_sub(2));
     let first = app.first.min(rows.len().saturating_sub(shown));
     let wide = usize::from(area.width).saturating_sub(12 + 17 + 6 + 6 + 7 + 8 + 6).max(4);
@@ -159,7 +159,7 @@
     if area.height == 0 {
         return;
     }
-    let tenants = app.board.tenants();
+    let tenants = app.dashboard.tenants();
     let hidden = tenants.len().saturating_sub(usize::from(area.height.saturating_sub(2)));
     let lines = tenants.into_iter().map(|(name, share)| {
         let style = if share.queued > 0 { Style::new().fg(Color::Yellow) } else { Style::new() };
@@ -202,7 +202,7 @@
 fn draw_events(frame: &mut Frame, app: &App, area: Rect) {
     let shown = usize::from(area.height.saturating_sub(1));
     let mut lines: Vec<_> =
-        app.board.lines.iter().rev().filter(|line| app.shows(line)).skip(app.back).take(shown).collect();
+        app.dashboard.lines.iter().rev().filter(|line| app.shows(line)).skip(app.back).take(shown).collect();
     lines.reverse();
     let text = lines.into_iter().map(|line| {
         let style = if line.bad { Style::new().fg(Color::Red) } else { Style::new() };
--- a/crates/ops/src/fleet.rs
+++ b/crates/ops/src/fleet.rs
@@ -288,15 +288,16 @@
             None => fresh(1)?,
             Some(file) => {
                 let old = read(file)?;
-                let (newest, seals) = (old.newest(), old.seals_with());
+                let (newest_key_id, seals) = (old.newest_key_id(), old.sealing_key_id());
                 if self.turn {
-                    old.sealing_with(newest)
+                    old.with_sealing_key(newest_key_id)
                 } else if self.drop_old {
-                    old.only(seals)
+                    old.with_only_key(seals)
                 } else {
-                    let number =
-                        newest.checked_add(1).ok_or_else(|| Failed("no number is left for a key".into()))?;
-                    Keys::joined(&[old, fresh(number)?], seals)
+                    let number = newest_key_id
+                        .checked_add(1)
+                        .ok_or_else(|| Failed("no number is left for a key".into()))?;
+                    Keys::merged(&[old, fresh(number)?], seals)
                 }
                 .ok_or_else(|| Failed(format!("{}: no such key", file.display())))?
             }
--- a/crates/ops/src/records.rs
+++ b/crates/ops/src/records.rs
@@ -269,13 +269,13 @@
                     doubts += 1;
                     eprintln!("hopmoor-ops: {}: {damage}", path.display());
                 }
-                Step::Shifted(by) => {
+                Step::ClockShifted(by) => {
                     eprintln!(
                         "hopmoor-ops: clock set back; what follows is shown {:.1} s later",
                         by / 1_000.0
                     );
                 }
-                Step::Over | Step::End => {}
+                Step::RunEnded | Step::FolderEnded => {}
             }
         }
         if let Some(table) = &mut table {
--- a/crates/ops/src/report.rs
+++ b/crates/ops/src/report.rs
@@ -1,7 +1,9 @@
 //! `report`: the findings as one page, or as JSON.
 
 use crate::{Failed, merged};
-use hopmoor_incident::{Account, Findings, Incident, IncidentKind, Member, RunEnd, State, analyse};
+use hopmoor_incident::{
+    Findings, Incident, IncidentKind, Member, MemberState, RunEnd, ServiceTotals, analyse,
+};
 use hopmoor_page::plot::{Axis, LEFT, RIGHT, WIDTH, area, path, round_up, short};
 use hopmoor_page::{number, page, percent, tile, time};
 use maud::{Markup, html};
@@ -112,13 +114,13 @@
 }
 
 fn tiles(findings: &Findings) -> Markup {
-    let sum = |of: fn(&Account) -> u64| findings.classes.iter().map(of).sum::<u64>();
+    let sum = |of: fn(&ServiceTotals) -> u64| findings.classes.iter().map(of).sum::<u64>();
     let away = sum(|class| class.rejected + class.failed);
     let all = sum(|class| class.transactions);
     let (broken, moved) = (sum(|class| class.broken), sum(|class| class.moved));
     let service = findings.service;
     let serious =
-        |incident: &&Incident| matches!(incident.kind, IncidentKind::Member(state) if state.is_trouble());
+        |incident: &&Incident| matches!(incident.kind, IncidentKind::Member(state) if state.is_fault());
     let troubles = findings.incidents.iter().filter(serious).count();
     let part = |part: u64| if all > 0 { percent(part as f64 / all as f64) } else { "0%".into() };
     html! {
@@ -140,7 +142,7 @@
     let mut costly: Vec<&Incident> =
         findings.incidents.iter().filter(|incident| incident.share > 0.000_5).collect();
     costly.sort_by(|a, b| b.lost.total_cmp(&a.lost));
-    let hit = |rows: &[Account]| {
+    let hit = |rows: &[ServiceTotals]| {
         let rows = rows.iter().filter(|row| row.asked > 0.0);
         rows.max_by(|a, b| (a.lost / a.asked).total_cmp(&(b.lost / b.asked)))
             .map(|row| (row.name.clone(), row.lost / row.asked))
@@ -182,8 +184,15 @@
 }
 
 fn key() -> Markup {
-    let states =
-        [State::Silent, State::Dead, State::Refusing, State::Slow, State::Draining, State::Gone, State::Cold];
+    let states = [
+        MemberState::Silent,
+        MemberState::Dead,
+        MemberState::Refusing,
+        MemberState::Slow,
+        MemberState::Draining,
+        MemberState::Gone,
+        MemberState::Cold,
+    ];
     html! {
         div.key {
             @for state in states { (swatch(state.word(), state.word())) }
@@ -194,14 +203,14 @@
 }
 
 fn drawn(members: &[Member]) -> Vec<&Member> {
-    let troubled = |member: &&Member| member.spans.iter().any(|span| span.state.is_trouble());
+    let troubled = |member: &&Member| member.spans.iter().any(|span| span.state.is_fault());
     let changed = |member: &&Member| !member.spans.is_empty() && !troubled(member);
     let still = |member: &&Member| member.spans.is_empty();
     let mut all: Vec<&Member> = members.iter().filter(troubled).collect();
     all.extend(members.iter().filter(changed));
     all.extend(members.iter().filter(still));
     all.truncate(MOST_LANES);
-    all.sort_by(|a, b| hopmoor_incident::analysis::in_order(&a.name, &b.name));
+    all.sort_by(|a, b| hopmoor_incident::analysis::natural_order(&a.name, &b.name));
     all
 }
 
@@ -258,8 +267,15 @@
 
 fn member_lane(findings: &Findings, axis: &Axis, member: &Member, y: f64, lane: &Markup) -> Markup {
     // The wider states lie under the narrower ones.
-    let order =
-        [State::Gone, State::Cold, State::Draining, State::Slow, State::Refusing, State::Silent, State::Dead];
+    let order = [
+        MemberState::Gone,
+        MemberState::Cold,
+        MemberState::Draining,
+        MemberState::Slow,
+        MemberState::Refusing,
+        MemberState::Silent,
+        MemberState::Dead,
+    ];
     html! {
         g id=(format!("m-{}", member.name)) {
             text x="4" y=(short(y + 12.0)) { title { (member.name) } (fitting(&member.name)) }
@@ -267,7 +283,7 @@
             @for state in order {
                 @for span in member.spans.iter().filter(|span| span.state == state) {
                     @let until = span.until.unwrap_or(findings.until);
-                    @let inset = match state { State::Draining => 3.0, State::Silent | State::Dead | State::Refusing => 5.0, _ => 0.0 };
+                    @let inset = match state { MemberState::Draining => 3.0, MemberState::Silent | MemberState::Dead | MemberState::Refusing => 5.0, _ => 0.0 };
                     @let row = findings.incidents.iter().find(|incident| {
                         incident.kind == IncidentKind::Member(state) && incident.subject == member.name && incident.from == span.from
                     });
@@ -275,7 +291,7 @@
                         &format!("{}: {} from {} for {}", member.name, state.word(), time::clock(span.from), time::span(until - span.from))))
                 }
             }
-            @for span in member.spans.iter().filter(|span| span.state == State::Avoided) {
+            @for span in member.spans.iter().filter(|span| span.state == MemberState::Avoided) {
                 (bar("avoided", axis, span.from, span.until.unwrap_or(findings.until), y + LANE - 6.0, 2.0, None,
                     &format!("{} avoided from {}", member.name, time::clock(span.from))))
             }
@@ -406,7 +422,7 @@
     }
 }
 
-fn accounts(what: &str, rows: &[Account]) -> Markup {
+fn accounts(what: &str, rows: &[ServiceTotals]) -> Markup {
     html! {
         div.wide { table {
             thead { tr {
--- a/crates/record/src/folder.rs
+++ b/crates/record/src/folder.rs
@@ -42,7 +42,7 @@
 
 /// Limits on segment size, total size and age of the records in a folder.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Keep {
+pub struct Retention {
     /// Number of record bytes at which a segment is sealed.
     pub segment_bytes: u64,
     /// Maximum total size in bytes. While the segments exceed it, the oldest are removed.
@@ -51,9 +51,9 @@
     pub keep_for: Duration,
 }
 
-impl Default for Keep {
+impl Default for Retention {
     fn default() -> Self {
-        Keep { segment_bytes: 4 << 20, keep_bytes: 256 << 20, keep_for: Duration::from_secs(72 * 3600) }
+        Retention { segment_bytes: 4 << 20, keep_bytes: 256 << 20, keep_for: Duration::from_secs(72 * 3600) }
     }
 }
 
@@ -61,11 +61,11 @@
 #[derive(Debug)]
 pub enum Notice {
     /// A write failed. Records are lost until writing succeeds again.
-    Failing(io::Error),
+    WriteFailed(io::Error),
     /// Records are written again. Holds the number of records lost in between.
     Recovered(u64),
     /// A segment could not be compressed, or an old segment could not be removed. The file stays.
-    Untidy(PathBuf, io::Error),
+    CleanupFailed(PathBuf, io::Error),
 }
 
 /// The segment that is being written.
@@ -81,14 +81,14 @@
 pub struct Writer<D: Disk = RealDisk> {
     disk: D,
     folder: PathBuf,
-    retention: Keep,
+    retention: Retention,
     header: Header,
     open: Option<OpenSegment<D::File>>,
     /// Members repeated at the head of the next segment.
     members: BTreeMap<MemberId, Member>,
     /// Lost records that no gap record has reported yet.
     gap: Option<Gap>,
-    /// Whether the last write failed and [`Notice::Failing`] was raised for it.
+    /// Whether the last write failed and [`Notice::WriteFailed`] was raised for it.
     failing: bool,
     retry_at: f64,
     check_file_at: f64,
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     /// If the folder does not exist or can't be written to.
-    pub fn new(mut disk: D, folder: &Path, retention: Keep, mut header: Header) -> io::Result<Self> {
+    pub fn new(mut disk: D, folder: &Path, retention: Retention, mut header: Header) -> io::Result<Self> {
         let files = disk.list(folder)?;
         for file in &files {
             let path_text = file.path.to_string_lossy();
@@ -300,7 +300,7 @@
         self.retry_at = now + DISK_RETRY_MS;
         self.count_lost(records, since, true);
         if !std::mem::replace(&mut self.failing, true) {
-            self.notices.push_back(Notice::Failing(error));
+            self.notices.push_back(Notice::WriteFailed(error));
         }
     }
 
@@ -312,7 +312,7 @@
         let partial = open.path.with_extension("rec.zst.begun");
         if let Err(error) = self.compress(&open.path, &partial) {
             let _ = self.disk.remove(&partial);
-            self.notices.push_back(Notice::Untidy(open.path, error));
+            self.notices.push_back(Notice::CleanupFailed(open.path, error));
         }
     }
 
@@ -346,7 +346,7 @@
             }
             total_bytes -= file.bytes;
             if let Err(error) = self.disk.remove(&file.path) {
-                self.notices.push_back(Notice::Untidy(file.path, error));
+                self.notices.push_back(Notice::CleanupFailed(file.path, error));
             }
         }
     }
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -27,12 +27,12 @@
     Damaged(PathBuf, Damage),
     /// The clock of the next run was behind the end of the last one. The times that follow are shifted
     /// forward by this many milliseconds.
-    Shifted(f64),
+    ClockShifted(f64),
     /// The records of a run end. The step has the time of the last of them, so that what other nodes saw next
     /// comes after it.
-    Over,
+    RunEnded,
     /// The records of a folder end.
-    End,
+    FolderEnded,
 }
 
 /// A folder and the state of its clock.
@@ -85,11 +85,11 @@
                 Some(Item::Segment(header)) if self.run_started == Some(header.started) => {}
                 Some(Item::Segment(header)) => {
                     if self.run_started.replace(header.started).is_some() {
-                        self.queue.push_back((time, Step::Over));
+                        self.queue.push_back((time, Step::RunEnded));
                     }
                     self.shift_ms = (self.last_time - header.base).max(0.0);
                     if self.shift_ms > 0.0 {
-                        self.queue.push_back((time, Step::Shifted(self.shift_ms)));
+                        self.queue.push_back((time, Step::ClockShifted(self.shift_ms)));
                     }
                     self.last_time = header.base + self.shift_ms;
                     self.queue.push_back((self.last_time, Step::Run(header)));
@@ -106,9 +106,9 @@
                 None => {
                     self.ended = true;
                     if self.run_started.is_some() {
-                        self.queue.push_back((time, Step::Over));
+                        self.queue.push_back((time, Step::RunEnded));
                     }
-                    self.queue.push_back((time, Step::End));
+                    self.queue.push_back((time, Step::FolderEnded));
                 }
             }
         }
--- a/crates/record/src/record.rs
+++ b/crates/record/src/record.rs
@@ -343,7 +343,7 @@
 /// Reason for telling a client to reconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum MoveReason {
     /// The client's member is draining.
     Draining,
     /// The client's member is gone.
@@ -366,7 +366,7 @@
     /// Member that the client was moved away from.
     pub member: MemberId,
     /// Reason for the move.
-    pub reason: Reason,
+    pub reason: MoveReason,
     /// Time for which the connection had been established; none if it was not.
     pub stood_ms: Option<f32>,
 }
--- a/crates/record/tests/full_disk.rs
+++ b/crates/record/tests/full_disk.rs
@@ -82,7 +82,8 @@
     let folder = tempfile::tempdir().unwrap();
     let left = Arc::new(AtomicI64::new(900));
     let header = Header { node: "n".into(), ..Header::default() };
-    let mut writer = Writer::new(LimitedDisk(left.clone()), folder.path(), Keep::default(), header).unwrap();
+    let mut writer =
+        Writer::new(LimitedDisk(left.clone()), folder.path(), Retention::default(), header).unwrap();
     for n in 0..200 {
         if n == 150 {
             left.store(1 << 20, Relaxed);
@@ -91,7 +92,7 @@
     }
     let notices: Vec<_> = std::iter::from_fn(|| writer.notice()).collect();
     assert!(
-        matches!(notices[..], [Notice::Failing(_), Notice::Recovered(_)]),
+        matches!(notices[..], [Notice::WriteFailed(_), Notice::Recovered(_)]),
         "one notice each: {notices:?}"
     );
     let (lost, read) = gaps_and_records(folder.path());
@@ -105,7 +106,7 @@
     let parent = tempfile::tempdir().unwrap();
     let folder = parent.path().join("records");
     std::fs::create_dir(&folder).unwrap();
-    let mut writer = Writer::new(RealDisk, &folder, Keep::default(), Header::default()).unwrap();
+    let mut writer = Writer::new(RealDisk, &folder, Retention::default(), Header::default()).unwrap();
     writer.write(0.0, 0.0, &[asked(0.0, 0)]);
     std::fs::remove_dir_all(&folder).unwrap();
     for n in 1..40 {
@@ -115,7 +116,7 @@
         writer.write(n as f64 * 100.0, 0.0, &[asked(n as f64 * 100.0, n)]);
     }
     let notices: Vec<_> = std::iter::from_fn(|| writer.notice()).collect();
-    assert!(matches!(notices[..], [Notice::Failing(_), Notice::Recovered(_)]), "{notices:?}");
+    assert!(matches!(notices[..], [Notice::WriteFailed(_), Notice::Recovered(_)]), "{notices:?}");
     let (lost, read) = gaps_and_records(&folder);
     assert!(lost >= 20 && read >= 5, "{lost} {read}");
     assert_eq!(lost, writer.lost());
@@ -124,7 +125,7 @@
 #[test]
 fn records_lost_before_reaching_the_writer_are_reported_before_the_next() {
     let folder = tempfile::tempdir().unwrap();
-    let mut writer = Writer::new(RealDisk, folder.path(), Keep::default(), Header::default()).unwrap();
+    let mut writer = Writer::new(RealDisk, folder.path(), Retention::default(), Header::default()).unwrap();
     writer.missed(17, 5.0);
     writer.write(10.0, 0.0, &[asked(10.0, 1)]);
     let items: Vec<_> = Folder::list(folder.path()).unwrap().read().collect();
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -149,7 +149,7 @@
 
 fn key_ring(key_ids: &[u32], seal_with: u32) -> Keys {
     let keys: Vec<Keys> = key_ids.iter().map(|id| Keys::new(*id, key_bytes(*id))).collect();
-    Keys::joined(&keys, seal_with).unwrap_or_else(|| Keys::new(seal_with, key_bytes(seal_with)))
+    Keys::merged(&keys, seal_with).unwrap_or_else(|| Keys::new(seal_with, key_bytes(seal_with)))
 }
 
 impl FleetSimulation {
--- a/crates/world/src/fleet/agree.rs
+++ b/crates/world/src/fleet/agree.rs
@@ -4,7 +4,7 @@
 use super::{Event, FleetSimulation, Options};
 use hopmoor::membership;
 use hopmoor_agree::voter::TICK_MS;
-use hopmoor_agree::{Entry, Kept, Most, Order, Part, Scope, Work};
+use hopmoor_agree::{Action, BudgetLimit, Entry, Participant, PendingWrite, PersistedState, Scope};
 use hopmoor_fleet::identity::Millis;
 use hopmoor_fleet::{NodeInfo, Readiness};
 use hopmoor_standin::faults::Schedule;
@@ -72,20 +72,20 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct VoterDisk {
     founders: Option<Vec<u8>>,
-    vote: Option<Vec<u8>>,
+    hard_state: Option<Vec<u8>>,
     log: BTreeMap<u64, Vec<u8>>,
 }
 
 /// A write that has not been synced yet.
 #[derive(Debug)]
 pub(super) enum DiskWrite {
-    Found(Vec<u8>),
-    Keep(Work),
+    PersistFounders(Vec<u8>),
+    Persist(PendingWrite),
 }
 
 /// The part of a process in the agreement on drains.
 pub(super) struct DrainAgreement {
-    part: Part,
+    participant: Participant,
     ticks: u64,
 }
 
@@ -97,27 +97,28 @@
             return None;
         }
         let discard_log = slog::Logger::root(slog::Discard, slog::o!());
-        let mut part = Part::new(&super::name(node), &voters, self.rng.random(), discard_log);
+        let mut participant = Participant::new(&super::name(node), &voters, self.rng.random(), discard_log);
         // Only one process at a time can have the folder open: a second process of the node does not vote.
-        if part.is_to_vote() && self.pids_by_node[node].is_empty() {
+        if participant.is_voter() && self.pids_by_node[node].is_empty() {
             let disk = self.disks.entry(node).or_default().clone();
-            let kept = Kept { vote: disk.vote, log: disk.log.into_values().collect() };
-            part.opened(disk.founders.map(|founders| (founders, kept)));
+            let persisted =
+                PersistedState { hard_state: disk.hard_state, log: disk.log.into_values().collect() };
+            participant.folder_opened(disk.founders.map(|founders| (founders, persisted)));
         }
-        Some(DrainAgreement { part, ticks: 0 })
+        Some(DrainAgreement { participant, ticks: 0 })
     }
 
     /// Sets the fleet's budget through the current leader. Returns false if there is none.
     fn set_budget(&mut self, limit: u32) -> bool {
-        let entry = Entry::Budget(Scope::Fleet, Most::Number(limit));
+        let entry = Entry::Budget(Scope::Fleet, BudgetLimit::Number(limit));
         let is_leader =
-            |process: &super::Process| process.agreement.as_ref().is_some_and(|a| a.part.wants_view());
+            |process: &super::Process| process.agreement.as_ref().is_some_and(|a| a.participant.is_leader());
         let leader = self.processes.iter().position(|process| process.as_ref().is_some_and(is_leader));
         let Some(leader) = leader else { return false };
         if let Some(Some(process)) = self.processes.get_mut(leader)
             && let Some(agreement) = &mut process.agreement
         {
-            agreement.part.set_budget(&entry);
+            agreement.participant.set_budget(&entry);
         }
         self.run_actions(leader);
         true
@@ -139,9 +140,9 @@
         let Some(Some(process)) = self.processes.get_mut(pid) else { return };
         let Some(agreement) = &mut process.agreement else { return };
         if on {
-            agreement.part.ask(request);
+            agreement.participant.request_permit(request);
         } else {
-            agreement.part.give_back();
+            agreement.participant.release();
             self.set_readiness(pid, Readiness::Serving);
         }
     }
@@ -165,10 +166,10 @@
         let Some(agreement) = &mut process.agreement else { return };
         if !process.stopped {
             agreement.ticks += 1;
-            agreement.part.tick(self.now);
-            if agreement.ticks.is_multiple_of(VIEW_UPDATE_TICKS) && agreement.part.wants_view() {
+            agreement.participant.tick(self.now);
+            if agreement.ticks.is_multiple_of(VIEW_UPDATE_TICKS) && agreement.participant.is_leader() {
                 let seen_nodes = membership::seen_nodes(&process.fleet.view(self.now));
-                agreement.part.sees(&seen_nodes);
+                agreement.participant.update_view(&seen_nodes);
             }
             self.run_actions(pid);
         }
@@ -181,17 +182,17 @@
         let Some(agreement) = &mut process.agreement else { return };
         let disk = self.disks.entry(process.node).or_default();
         match write {
-            DiskWrite::Found(founders) => {
+            DiskWrite::PersistFounders(founders) => {
                 disk.founders = Some(founders);
-                agreement.part.founded();
+                agreement.participant.founders_persisted();
             }
-            DiskWrite::Keep(work) => {
+            DiskWrite::Persist(work) => {
                 if let Some((from, _)) = work.log.first() {
                     disk.log.split_off(from);
                 }
                 disk.log.extend(work.log);
-                disk.vote = work.vote.or(disk.vote.take());
-                agreement.part.kept();
+                disk.hard_state = work.hard_state.or(disk.hard_state.take());
+                agreement.participant.persisted();
             }
         }
         self.run_actions(pid);
@@ -203,14 +204,14 @@
         loop {
             let Some(Some(process)) = self.processes.get_mut(pid) else { return };
             let Some(agreement) = &mut process.agreement else { return };
-            agreement.part.due(self.now, process.fleet.id().incarnation);
+            agreement.participant.due(self.now, process.fleet.id().incarnation);
             while let Some((from, bytes)) = process.fleet.next_user_message() {
-                agreement.part.message(&from, &bytes);
+                agreement.participant.message(&from, &bytes);
             }
-            let Some(order) = agreement.part.order() else { return };
-            match order {
-                Order::Send(to, bytes) => drop(process.fleet.send_user_message(&to, &bytes)),
-                Order::Drain(_) => {
+            let Some(next_action) = agreement.participant.next_action() else { return };
+            match next_action {
+                Action::Send(to, bytes) => drop(process.fleet.send_user_message(&to, &bytes)),
+                Action::Drain(_) => {
                     self.set_readiness(pid, Readiness::Draining);
                     self.drains_started += 1;
                     let draining = self
@@ -222,8 +223,10 @@
                     self.max_draining = self.max_draining.max(draining);
                     self.max_out = self.max_out.max(draining + self.known_dead());
                 }
-                Order::Found(founders) => self.start_write(pid, DiskWrite::Found(founders)),
-                Order::Keep(work) => self.start_write(pid, DiskWrite::Keep(work)),
+                Action::PersistFounders(founders) => {
+                    self.start_write(pid, DiskWrite::PersistFounders(founders))
+                }
+                Action::Persist(work) => self.start_write(pid, DiskWrite::Persist(work)),
             }
         }
     }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -20,7 +20,7 @@
 use hopmoor::config::Site as SiteConfig;
 use hopmoor::pool::{Member as PoolMember, PoolList};
 use hopmoor::{ClassId, Millis, Outcome, Phase, Report, Settings, Tenant, TenantId};
-use hopmoor_record::{Header, Keep, RealDisk, Writer};
+use hopmoor_record::{Header, RealDisk, Retention, Writer};
 use hopmoor_standin::plan::{self, Act, Plan, What};
 use hopmoor_standin::truth::{Change, Kind, Truth};
 use rand::Rng;
@@ -459,7 +459,7 @@
         };
         let name = target.name.clone();
         self.with_broker(node, |broker, now| {
-            if let Some(member) = broker.member_named(&name) {
+            if let Some(member) = broker.find_member(&name) {
                 broker.probed(now, member, outcome, report, message);
             }
         });
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -27,7 +27,7 @@
                 counters: Counters::NAMES.iter().map(|name| (*name).to_owned()).collect(),
                 ..Header::default()
             };
-            node.writer = Some(Writer::new(RealDisk, &folder, Keep::default(), header)?);
+            node.writer = Some(Writer::new(RealDisk, &folder, Retention::default(), header)?);
             self.schedule_event(now + RECORD_FLUSH_MS, Event::FlushRecords { node: index, run });
         }
         self.nodes[index].broker = Some(broker);
--- a/crates/world/tests/script.rs
+++ b/crates/world/tests/script.rs
@@ -1,7 +1,7 @@
 //! Simulates scripted incidents, such as the ten-minute one, and compares what the analysis of the records
 //! finds with what the script did.
 
-use hopmoor_incident::{Findings, IncidentKind, RunEnd, State, analyse};
+use hopmoor_incident::{Findings, IncidentKind, MemberState, RunEnd, analyse};
 use hopmoor_record::{Folder, Merged};
 use hopmoor_standin::plan::{Plan, What};
 use hopmoor_standin::truth::{Kind, Truth};
@@ -22,7 +22,7 @@
 
 /// The spans that were found at members in one of `states`: their starts in seconds from the start of the
 /// run, the members and the states.
-fn span_starts(findings: &Findings, states: &[State]) -> Vec<(f64, String, State)> {
+fn span_starts(findings: &Findings, states: &[MemberState]) -> Vec<(f64, String, MemberState)> {
     let seconds = |ms: f64| (ms - BEGAN) / 1_000.0;
     let spans =
         findings.members.iter().flat_map(|member| member.spans.iter().map(move |span| (member, span)));
@@ -34,17 +34,23 @@
 fn the_ten_minute_incident_is_found_as_scripted() {
     let plan = Plan::ten_minutes();
     let (truth, findings) = run(&plan);
-    let fault_states = [State::Silent, State::Dead, State::Refusing, State::Slow, State::Draining];
+    let fault_states = [
+        MemberState::Silent,
+        MemberState::Dead,
+        MemberState::Refusing,
+        MemberState::Slow,
+        MemberState::Draining,
+    ];
     let mut found = span_starts(&findings, &fault_states);
     // Each change that the script made to a member is found, with its start or end to within a second.
     for change in &truth.changes {
         let at = change.at_ms / 1_000.0;
         let state = match change.what {
-            Kind::Silent => State::Silent,
-            Kind::Slow => State::Slow,
-            Kind::Refusing => State::Refusing,
-            Kind::Draining => State::Draining,
-            Kind::Cold => State::Cold,
+            Kind::Silent => MemberState::Silent,
+            Kind::Slow => MemberState::Slow,
+            Kind::Refusing => MemberState::Refusing,
+            Kind::Draining => MemberState::Draining,
+            Kind::Cold => MemberState::Cold,
             Kind::Gone | Kind::Running | Kind::Deaf => continue,
         };
         let member = findings.members.iter().find(|member| member.name == change.subject).unwrap();
@@ -57,11 +63,11 @@
     // Each fault of the script is found exactly once, and nothing else is.
     for act in &plan.script {
         let (name, state) = match &act.what {
-            What::Silent { member, .. } => (member, State::Silent),
-            What::Slow { member, .. } => (member, State::Slow),
-            What::Refusing { member, .. } => (member, State::Refusing),
-            What::Drain { member, .. } => (member, State::Draining),
-            What::Kill { member } => (member, State::Dead),
+            What::Silent { member, .. } => (member, MemberState::Silent),
+            What::Slow { member, .. } => (member, MemberState::Slow),
+            What::Refusing { member, .. } => (member, MemberState::Refusing),
+            What::Drain { member, .. } => (member, MemberState::Draining),
+            What::Kill { member } => (member, MemberState::Dead),
             _ => continue,
         };
         let at = act.at_ms / 1_000.0;
@@ -123,7 +129,14 @@
 #[test]
 fn a_run_without_faults_has_no_incident_and_hardly_any_loss() {
     let (truth, findings) = run(&Plan::calm(120_000.0));
-    let states = [State::Silent, State::Dead, State::Refusing, State::Slow, State::Draining, State::Cold];
+    let states = [
+        MemberState::Silent,
+        MemberState::Dead,
+        MemberState::Refusing,
+        MemberState::Slow,
+        MemberState::Draining,
+        MemberState::Cold,
+    ];
     assert_eq!(span_starts(&findings, &states), []);
     assert_eq!(findings.incidents, []);
     assert!((truth.share_lost() - findings.service.share_lost).abs() < 0.002);
@@ -141,7 +154,7 @@
     let (_, findings) = run(&plan);
     assert!((findings.until - BEGAN - 70_000.0).abs() < 1_000.0);
     let silent = findings.members.iter().find(|member| member.name == "s-3").unwrap();
-    let span = silent.spans.iter().find(|span| span.state == State::Silent).unwrap();
+    let span = silent.spans.iter().find(|span| span.state == MemberState::Silent).unwrap();
     assert_eq!(span.until, None);
     assert_eq!(findings.nodes[0].runs[0].end, RunEnd::RecordsEnd);
     assert!(
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,6 +1,6 @@
 //! Recording by the real program over real sockets: a short incident, a killed node, a restart, a removed
 //! folder and invalid settings.
-use hopmoor_incident::{Findings, RunEnd, State, analyse};
+use hopmoor_incident::{Findings, MemberState, RunEnd, analyse};
 use hopmoor_record::{Event, Folder, Merged};
 use hopmoor_standin::sockets::{Client, Discovery, Member, Stage};
 use std::io::{BufRead, BufReader};
@@ -182,20 +182,20 @@
     };
     let mut changes = Vec::new();
     wait(2_000);
-    changes.push((unix_ms(), "s-2", State::Silent, true));
+    changes.push((unix_ms(), "s-2", MemberState::Silent, true));
     silent_member.store(2, Relaxed);
     members[1].silent(true);
     wait(4_000);
     members[1].silent(false);
     silent_member.store(0, Relaxed);
-    changes.push((unix_ms(), "s-2", State::Silent, false));
+    changes.push((unix_ms(), "s-2", MemberState::Silent, false));
     wait(4_800);
     set(2, "Terminating");
-    changes.push((unix_ms(), "s-3", State::Draining, true));
+    changes.push((unix_ms(), "s-3", MemberState::Draining, true));
     wait(6_200);
     set(2, "Gone");
     members[2].kill();
-    changes.push((unix_ms(), "s-3", State::Gone, true));
+    changes.push((unix_ms(), "s-3", MemberState::Gone, true));
     wait(7_000);
     node.signal("-KILL");
     let killed = unix_ms();
@@ -213,7 +213,7 @@
         assert!(found, "{name} {state:?} {begins} at {at}: {:#?}", findings.members);
     }
     let trouble_spans =
-        spans().filter(|(_, span)| span.state.is_trouble() || span.state == State::Draining).count();
+        spans().filter(|(_, span)| span.state.is_fault() || span.state == MemberState::Draining).count();
     assert_eq!(trouble_spans, 2, "{:#?}", findings.incidents);
     let run = &findings.nodes[0].runs[0];
     assert!(run.end == RunEnd::RecordsEnd && (run.until - killed).abs() < 500.0, "{run:?} {killed}");
