--- a/crates/world/examples/fleet_figures.rs
+++ b/crates/world/examples/fleet_figures.rs
@@ -123,8 +123,9 @@
     println!("memory, {nodes} nodes: {} bytes a known node ({known} of them)", bytes / known.max(1) as u64);
 }
 
-/// 5% of the nodes lose a quarter of the packets to and from them. Prints the most pairs of an observer and a
-/// running node that the observer holds dead, checked once a second.
+/// 5% of the nodes lose a quarter of the packets to and from them; no running node should be held dead by
+/// any other. Prints the greatest number of pairs of an observer and a running node that the observer holds
+/// dead, checked once a second.
 fn loss(nodes: usize, seeds: u64, seconds: f64) {
     for seed in 0..seeds {
         let started = Instant::now();
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -28,7 +28,7 @@
 pub struct Options {
     /// Interval at which every node's view is recorded in the history; 0 for never.
     pub sample_interval_ms: Millis,
-    /// Number of nodes, from the first, that every node is configured to join through.
+    /// Every node is configured with the first `seed_nodes` nodes as seeds to join through.
     pub seed_nodes: usize,
 }
 
@@ -193,12 +193,12 @@
         simulation
     }
 
-    /// The virtual time, which starts at 1,000 ms, of a time in seconds from the start.
+    /// Converts seconds from the start of the run to virtual time, which starts at 1,000 ms.
     fn millis(&self, seconds: f64) -> Millis {
         1_000 + (seconds * 1_000.0) as Millis
     }
 
-    /// Seconds from the start until now.
+    /// Seconds from the start of the run until now.
     fn seconds(&self) -> f64 {
         self.now.saturating_sub(1_000) as f64 / 1_000.0
     }
@@ -209,7 +209,7 @@
         self.queue.push(Reverse((at.max(self.now), self.last_id)));
     }
 
-    fn record(&mut self, node: usize, what: What) {
+    fn record_act(&mut self, node: usize, what: What) {
         let at = self.seconds();
         self.history.acts.push(Act { at, node, what });
     }
@@ -253,7 +253,7 @@
         self.processes[pid] = Some(process);
         self.pid_by_address.insert(address, pid);
         self.pids_by_node[node].push(pid);
-        self.record(node, What::Started);
+        self.record_act(node, What::Started);
         self.run_actions(pid);
         if has_agreement {
             self.schedule_event(self.now + hopmoor_agree::voter::TICK_MS, Event::AgreementTick(pid));
@@ -330,8 +330,8 @@
         }
     }
 
-    /// Sends a frame over a connection. The connection breaks if the link is cut or its byte limit is
-    /// reached.
+    /// Sends a frame over a connection. The connection breaks if the link is cut, or if it has carried more
+    /// bytes than the link's `cut_after`.
     fn send_frame(&mut self, connection_id: u64, to_caller: bool, bytes: Vec<u8>) {
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         connection.bytes += bytes.len() as u64;
@@ -419,7 +419,7 @@
             }
             Fault::Term { nodes } => {
                 for node in selected(&nodes) {
-                    self.record(node, What::Told);
+                    self.record_act(node, What::Told);
                     for pid in self.pids_by_node[node].clone() {
                         if let Some(Some(process)) = self.processes.get_mut(pid) {
                             process.fleet.leave(self.now);
@@ -427,7 +427,7 @@
                         self.run_actions(pid);
                         self.remove_process(pid);
                     }
-                    self.record(node, What::Ended);
+                    self.record_act(node, What::Ended);
                 }
             }
             Fault::Stop { nodes, seconds } => {
@@ -439,7 +439,7 @@
                         }
                         self.schedule_event(at, Event::Continue(pid));
                     }
-                    self.record(node, What::Stopped);
+                    self.record_act(node, What::Stopped);
                 }
             }
             // Looked up for each datagram and frame; see `link`.
@@ -502,7 +502,7 @@
         for pid in self.pids_by_node[node].clone() {
             self.remove_process(pid);
         }
-        self.record(node, What::Killed);
+        self.record_act(node, What::Killed);
     }
 
     fn rotate_keys(&mut self, stage: KeyStage) {
@@ -588,7 +588,7 @@
                         let _ = process.fleet.datagram(self.now, &bytes);
                     }
                     process.fleet.tick(self.now);
-                    self.record(node, What::Continued);
+                    self.record_act(node, What::Continued);
                     self.run_actions(pid);
                 }
                 Event::Flood { node, until, interval_ms, at } => {
--- a/crates/world/src/fleet/agree.rs
+++ b/crates/world/src/fleet/agree.rs
@@ -22,8 +22,7 @@
 
 /// When the budget is set; by then the voters of a schedule have bootstrapped the log.
 const BUDGET_SET_AT_S: f64 = 4.0;
-/// When a voter's stored state is deleted, in every third seed. By then drawn schedules have some voters
-/// down.
+/// When one voter's stored state is deleted, in every third seed. Some voters are down by then.
 const FOLDER_LOST_AT_S: f64 = 25.0;
 
 /// Result of running a schedule with agreed drains.
@@ -33,8 +32,8 @@
     pub budget: usize,
     /// The most processes that drained at once.
     pub drained: usize,
-    /// The most that were out of service when a drain began: draining processes, and nodes dead for over 20
-    /// s.
+    /// The most that were out of service when a drain began: draining processes, and nodes dead for more
+    /// than 20 s.
     pub out: usize,
     /// Number of permits under which a drain began.
     pub used: u64,
@@ -79,8 +78,8 @@
 /// A write that has not been synced yet.
 #[derive(Debug)]
 pub(super) enum DiskWrite {
-    PersistFounders(Vec<u8>),
-    Persist(PendingWrite),
+    Founders(Vec<u8>),
+    State(PendingWrite),
 }
 
 /// The part of a process in the agreement on drains.
@@ -182,16 +181,16 @@
         let Some(agreement) = &mut process.agreement else { return };
         let disk = self.disks.entry(process.node).or_default();
         match write {
-            DiskWrite::PersistFounders(founders) => {
+            DiskWrite::Founders(founders) => {
                 disk.founders = Some(founders);
                 agreement.participant.founders_persisted();
             }
-            DiskWrite::Persist(work) => {
-                if let Some((from, _)) = work.log.first() {
+            DiskWrite::State(state) => {
+                if let Some((from, _)) = state.log.first() {
                     disk.log.split_off(from);
                 }
-                disk.log.extend(work.log);
-                disk.hard_state = work.hard_state.or(disk.hard_state.take());
+                disk.log.extend(state.log);
+                disk.hard_state = state.hard_state.or(disk.hard_state.take());
                 agreement.participant.persisted();
             }
         }
@@ -208,8 +207,8 @@
             while let Some((from, bytes)) = process.fleet.next_user_message() {
                 agreement.participant.message(&from, &bytes);
             }
-            let Some(next_action) = agreement.participant.next_action() else { return };
-            match next_action {
+            let Some(action) = agreement.participant.next_action() else { return };
+            match action {
                 Action::Send(to, bytes) => drop(process.fleet.send_user_message(&to, &bytes)),
                 Action::Drain(_) => {
                     self.set_readiness(pid, Readiness::Draining);
@@ -223,10 +222,8 @@
                     self.max_draining = self.max_draining.max(draining);
                     self.max_out = self.max_out.max(draining + self.known_dead());
                 }
-                Action::PersistFounders(founders) => {
-                    self.start_write(pid, DiskWrite::PersistFounders(founders))
-                }
-                Action::Persist(work) => self.start_write(pid, DiskWrite::Persist(work)),
+                Action::PersistFounders(founders) => self.start_write(pid, DiskWrite::Founders(founders)),
+                Action::Persist(state) => self.start_write(pid, DiskWrite::State(state)),
             }
         }
     }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -39,7 +39,7 @@
 const DEAD_LISTED_MS: Millis = 3_000.0;
 /// Time after its start during which a member is cold.
 const WARM_UP_MS: Millis = 10_000.0;
-/// Time after which a connection ends whose message the member does not answer.
+/// Time from a client's message until its connection ends because a silent member has not answered.
 const UNANSWERED_TIMEOUT_MS: Millis = 4_500.0;
 /// Time after which an unanswered probe ends.
 const PROBE_TIMEOUT_MS: Millis = 1_000.0;
@@ -83,8 +83,8 @@
         node: usize,
         run: u32,
     },
-    /// A killed member leaves the pool list, unless it has been started again since: its index and start
-    /// count.
+    /// A killed member leaves the pool list. Holds its index and start count: if it has been started again
+    /// since, nothing happens.
     DeadMemberDelisted(usize, u32),
     MemberSilent(usize),
     FlushRecords {
@@ -101,7 +101,7 @@
     up: bool,
     draining: bool,
     /// When it was last started; 0 if it has run from the beginning.
-    born: Millis,
+    started_at: Millis,
     /// Number of times that it was started, to drop events meant for an earlier process.
     starts: u32,
     silent_until: Millis,
@@ -118,8 +118,8 @@
         f64::from(self.connections) / f64::from(self.slots)
     }
 
-    /// Time in which it answers a message: 2 ms, and 30 ms more for each multiple of its slots by which it is
-    /// overloaded.
+    /// Time in which it answers a message: 2 ms, plus 30 ms times the ratio of excess connections to slots;
+    /// or a fixed time while it is slow.
     fn message_latency_ms(&self, now: Millis) -> Millis {
         if now < self.slow_until { self.slow_message_ms } else { 2.0 + 30.0 * (self.load() - 1.0).max(0.0) }
     }
@@ -133,7 +133,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ClientState {
     Disconnected,
-    /// It has sent a request, and waits for an attempt at `member` if that has accepted one.
+    /// Its request has no connection yet. `member` holds the current attempt, if a member has accepted it;
+    /// `flow` is the number of that attempt.
     Requesting {
         node: usize,
         id: TransactionId,
@@ -154,7 +155,8 @@
     /// When it stops wanting a connection.
     wants_until: Millis,
     state: ClientState,
-    /// How it comes with its next request: for the first time, after a reject or back after a break.
+    /// Kind of its next request: the first, a retry after a reject or failure, or a return after a break or
+    /// move.
     arrival: ArrivalKind,
     /// Number of requests that it has sent, to drop events meant for an earlier connection.
     request_number: u32,
@@ -224,7 +226,7 @@
             slots: member.slots,
             up: true,
             draining: false,
-            born: 0.0,
+            started_at: 0.0,
             starts: 0,
             silent_until: 0.0,
             refuses_until: 0.0,
@@ -348,8 +350,8 @@
                 // The broker itself rejects a list that is outdated or empty, so its answer is not needed.
                 let _ = self.with_broker(node, |broker, now| broker.listed(now, list, now));
             }
-            Event::DeadMemberDelisted(member, start) => {
-                if self.members[member].starts == start && !self.members[member].up {
+            Event::DeadMemberDelisted(member, starts) => {
+                if self.members[member].starts == starts && !self.members[member].up {
                     self.members[member].listed_phase = Phase::Gone;
                     self.publish_list();
                 }
@@ -369,7 +371,8 @@
         }
     }
 
-    /// A member has answered an attempt, unless the transaction has ended or its next attempt is under way.
+    /// Passes a member's answer to an attempt on to the broker. The answer is dropped if the transaction has
+    /// ended or its next attempt is under way.
     fn attempt_answered(&mut self, node: usize, id: TransactionId, flow: u32, outcome: Option<Outcome>) {
         let Some(&client_id) = self.nodes[node].clients.get(&id) else { return };
         let Some(ClientState::Requesting { flow: current_flow, member, .. }) =
@@ -426,8 +429,8 @@
         }
     }
 
-    /// A member has gone silent. Each connection there sends its next message within 2 s, which is not
-    /// answered.
+    /// Schedules the time-outs of the connections to a member that has gone silent. Each sends its next
+    /// message, which is not answered, within 2 s.
     fn silence_connections(&mut self, index: usize) {
         let is_at =
             |c: &Client| matches!(c.state, ClientState::Established { member, .. } if member == index);
@@ -438,9 +441,9 @@
             .map(|(client_id, client)| (*client_id, client.request_number))
             .collect();
         for (client_id, request_number) in affected {
-            let next_message = self.random_between(0.0, 2_000.0);
+            let next_message_ms = self.random_between(0.0, 2_000.0);
             self.schedule_event(
-                self.now + next_message + UNANSWERED_TIMEOUT_MS,
+                self.now + next_message_ms + UNANSWERED_TIMEOUT_MS,
                 Event::ConnectionTimesOut { client_id, request_number },
             );
         }
@@ -470,7 +473,7 @@
     name.to_owned()
 }
 
-/// The configuration of the nodes. Probing is on, since probes cost nothing here.
+/// The configuration of the nodes. Probing is on: probes are cheap at such a site.
 fn site_config(plan: &Plan) -> SiteConfig {
     let class = |class: &plan::Class| hopmoor::Class {
         aim_ms: class.aim_ms,
--- a/crates/world/src/members.rs
+++ b/crates/world/src/members.rs
@@ -13,7 +13,7 @@
                 cell: 0,
                 phase: member.listed_phase,
                 weight: 1.0,
-                born: (member.born > 0.0).then_some(member.born),
+                born: (member.started_at > 0.0).then_some(member.started_at),
             }
         });
         PoolList { seq: self.nodes[node].list_seq, whole: true, members: members.collect() }
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Calls a node's broker and carries out the commands that it issues. `None` if the node is down.
+    /// Calls a node's broker and carries out the commands that it issues. Returns `None` if the node is down.
     pub(crate) fn with_broker<T>(
         &mut self,
         node: usize,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Opens the next attempt of a transaction at a member. A silent member accepts it and never answers.
+    /// Opens the next attempt of a transaction at a member. A silent member never answers it.
     pub(crate) fn open_attempt(&mut self, node: usize, id: TransactionId, client_id: u64, dial: &str) {
         let Some(member) = self.members.iter().position(|member| member.name == dial) else { return };
         let Some(client) = self.clients.get_mut(&client_id) else { return };
--- a/crates/world/src/script.rs
+++ b/crates/world/src/script.rs
@@ -1,9 +1,9 @@
-//! Carries out the acts of a plan's script: faults, starts, drains and arrival surges, and their ends.
+//! Carries out a plan's script: faults, starts, drains and surges of arrivals, and their ends.
 
 use super::*;
 
 impl Site {
-    /// Carries out the act of this index, and schedules its end if it has one.
+    /// Starts the script's act with this index, and schedules its end if it has one.
     pub(crate) fn begin_act(&mut self, act: usize) {
         let Act { what, .. } = self.plan.script[act].clone();
         match what {
@@ -40,17 +40,17 @@
             What::Kill { member } => {
                 let Some(index) = self.member_index(&member) else { return };
                 self.stop_member(index);
-                let start = self.members[index].starts;
-                self.schedule_event(self.now + DEAD_LISTED_MS, Event::DeadMemberDelisted(index, start));
+                let starts = self.members[index].starts;
+                self.schedule_event(self.now + DEAD_LISTED_MS, Event::DeadMemberDelisted(index, starts));
             }
             What::Start { member } => {
                 let Some(index) = self.member_index(&member) else { return };
                 let now = self.now;
-                let started = &mut self.members[index];
-                (started.up, started.draining, started.listed_phase) = (true, false, Phase::Serving);
-                (started.born, started.connections, started.silent_until) = (now, 0, 0.0);
-                (started.refuses_until, started.slow_until) = (0.0, 0.0);
-                started.starts += 1;
+                let target = &mut self.members[index];
+                (target.up, target.draining, target.listed_phase) = (true, false, Phase::Serving);
+                (target.started_at, target.connections, target.silent_until) = (now, 0, 0.0);
+                (target.refuses_until, target.slow_until) = (0.0, 0.0);
+                target.starts += 1;
                 self.publish_list();
                 self.record_change(member.clone(), Kind::Gone, false);
                 self.record_change(member, Kind::Cold, true);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Ends the act of this index.
+    /// Ends the script's act with this index.
     pub(crate) fn end_act(&mut self, act: usize) {
         match self.plan.script[act].what.clone() {
             What::Silent { member, .. } => {
--- a/crates/world/tests/agree.rs
+++ b/crates/world/tests/agree.rs
@@ -68,7 +68,7 @@
     assert_eq!((result.drained, result.used), (1, 1), "{result:?}");
 }
 
-/// Each voter in turn is cut off and requests a drain. The leader, when it is its turn, must not grant itself
+/// Each voter in turn is cut off and requests a drain. When it is the leader's turn, it must not grant itself
 /// a permit that no other voter has in its log.
 #[test]
 fn a_leader_that_is_cut_off_grants_no_permit() {
