--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -24,8 +24,8 @@
 use std::collections::VecDeque;
 
 /// Factor on a node's equal part of the allowance. It may exceed 1 because part of the allowance is unused:
-/// idle periods, nodes with few requests and backends that no request prefers. The largest value at which
-/// tests/ramp.rs and tests/fleet.rs pass.
+/// idle periods, nodes with few requests and backends that no request prefers. With a larger factor all nodes
+/// together exceed a backend's allowance in a span, which tests/ramp.rs and tests/fleet.rs guard.
 const ALLOWANCE_FACTOR: f64 = 1.2;
 /// Largest share of a span that one request may bring after an idle period.
 const MAX_EARNED_SPAN_SHARE: f64 = 0.3;
