--- a/crates/incident/src/analysis.rs
+++ b/crates/incident/src/analysis.rs
@@ -178,13 +178,13 @@
 
     /// Processes one step of the merged records.
     pub fn feed(&mut self, origin: Origin, at: f64, step: &Step) {
-        if self.from.is_nan() && matches!(step, Step::Run(_) | Step::Record(_)) {
+        if self.from.is_nan() && matches!(step, Step::RunStarted(_) | Step::Record(_)) {
             (self.from, self.until) = (at, at);
             let replaced = std::mem::replace(&mut self.ledger, Ledger::new(at));
             drop(replaced);
         }
         match step {
-            Step::Run(header) => self.run_started(origin, at, header),
+            Step::RunStarted(header) => self.run_started(origin, at, header),
             Step::Record(record) => self.record(origin, at, record),
             Step::Damaged(path, damage) => {
                 let file =
--- a/crates/incident/src/dashboard.rs
+++ b/crates/incident/src/dashboard.rs
@@ -193,7 +193,7 @@
             self.nodes.resize_with(origin.0 + 1, Node::default);
         }
         match step {
-            Step::Run(header) => {
+            Step::RunStarted(header) => {
                 let node = &mut self.nodes[origin.0];
                 if node.running {
                     let name = node.name.clone();
--- a/crates/ops/src/records.rs
+++ b/crates/ops/src/records.rs
@@ -223,7 +223,7 @@
         };
         for (origin, at, step) in merged(&self.folders)? {
             match step {
-                Step::Run(header) => {
+                Step::RunStarted(header) => {
                     // A clock time alone is on the day of the first record.
                     for (text, bound) in [(bounds.0.take(), &mut from), (bounds.1.take(), &mut to)] {
                         if let Some(text) = text {
--- a/crates/record/src/folder.rs
+++ b/crates/record/src/folder.rs
@@ -144,7 +144,7 @@
     }
 
     /// Takes the oldest pending notice.
-    pub fn notice(&mut self) -> Option<Notice> {
+    pub fn next_notice(&mut self) -> Option<Notice> {
         self.notices.pop_front()
     }
 
@@ -155,7 +155,7 @@
 
     /// Counts records that were lost before they reached the writer, the first at the time `since`. A gap
     /// record before the next records reports them.
-    pub fn missed(&mut self, records: u64, since: f64) {
+    pub fn record_loss(&mut self, records: u64, since: f64) {
         self.count_lost(records, since, false);
     }
 
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A run of a node starts.
-    Run(Arc<Header>),
+    RunStarted(Arc<Header>),
     /// A record.
     Record(Record),
     /// A segment is damaged, or segments before it are missing. Holds the segment's path.
@@ -92,7 +92,7 @@
                         self.queue.push_back((time, Step::ClockShifted(self.shift_ms)));
                     }
                     self.last_time = header.base + self.shift_ms;
-                    self.queue.push_back((self.last_time, Step::Run(header)));
+                    self.queue.push_back((self.last_time, Step::RunStarted(header)));
                 }
                 Some(Item::Record(record)) => {
                     self.last_time = (record.at + self.shift_ms).max(self.last_time);
--- a/crates/record/tests/damage.rs
+++ b/crates/record/tests/damage.rs
@@ -153,7 +153,8 @@
         last.read().filter(|item| matches!(item, Item::Record(r) if r.event.kind() == 5)).collect();
     assert!(matches!(&repeated[..], [Item::Record(Record { event: Event::Member(entry), .. })]
             if entry.name == "s-5" && entry.again));
-    let runs = Merged::new(vec![listed]).filter(|(_, _, step)| matches!(step, merge::Step::Run(_))).count();
+    let runs =
+        Merged::new(vec![listed]).filter(|(_, _, step)| matches!(step, merge::Step::RunStarted(_))).count();
     assert_eq!(runs, 3);
 }
 
--- a/crates/record/tests/full_disk.rs
+++ b/crates/record/tests/full_disk.rs
@@ -90,7 +90,7 @@
         }
         writer.write(n as f64 * 100.0, 0.0, &[asked(n as f64 * 100.0, n)]);
     }
-    let notices: Vec<_> = std::iter::from_fn(|| writer.notice()).collect();
+    let notices: Vec<_> = std::iter::from_fn(|| writer.next_notice()).collect();
     assert!(
         matches!(notices[..], [Notice::WriteFailed(_), Notice::Recovered(_)]),
         "one notice each: {notices:?}"
@@ -115,7 +115,7 @@
         }
         writer.write(n as f64 * 100.0, 0.0, &[asked(n as f64 * 100.0, n)]);
     }
-    let notices: Vec<_> = std::iter::from_fn(|| writer.notice()).collect();
+    let notices: Vec<_> = std::iter::from_fn(|| writer.next_notice()).collect();
     assert!(matches!(notices[..], [Notice::WriteFailed(_), Notice::Recovered(_)]), "{notices:?}");
     let (lost, read) = gaps_and_records(&folder);
     assert!(lost >= 20 && read >= 5, "{lost} {read}");
@@ -126,7 +126,7 @@
 fn records_lost_before_reaching_the_writer_are_reported_before_the_next() {
     let folder = tempfile::tempdir().unwrap();
     let mut writer = Writer::new(RealDisk, folder.path(), Retention::default(), Header::default()).unwrap();
-    writer.missed(17, 5.0);
+    writer.record_loss(17, 5.0);
     writer.write(10.0, 0.0, &[asked(10.0, 1)]);
     let items: Vec<_> = Folder::list(folder.path()).unwrap().read().collect();
     let [Item::Segment(_), Item::Record(gap), Item::Record(_)] = &items[..] else { panic!("{items:?}") };
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -65,7 +65,7 @@
             grace_ms: self.plan.classes[class].grace_ms,
             load_hint: None,
             adopted: None,
-            coming,
+            arrival: coming,
             negotiates: false,
         };
         self.on_front_event(node, id, FrontEvent::ClientRequest(ask));
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -15,7 +15,7 @@
         if let Some(folder) = &self.folder {
             let folder = folder.join(&node.name);
             std::fs::create_dir_all(&folder)?;
-            broker.record(now);
+            broker.start_recording(now);
             let header = Header {
                 node: node.name.clone(),
                 program: env!("CARGO_PKG_VERSION").into(),
@@ -76,15 +76,15 @@
         if node.flushes.is_multiple_of(10) {
             broker.record_counters(now, now);
         }
-        let take_records = broker.take_records(Vec::new());
-        if let Some((missed, since)) = take_records.missed {
-            writer.missed(missed, since);
+        let batch = broker.take_records(Vec::new());
+        if let Some((missed, since)) = batch.missed {
+            writer.record_loss(missed, since);
         }
         if now < node.deaf_until {
-            let first = take_records.records.first().map_or(now, |record| record.at);
-            writer.missed(take_records.records.len() as u64, first);
-        } else if !killed || take_records.records.len() > 1 {
-            writer.write(now, now, &take_records.records);
+            let first = batch.records.first().map_or(now, |record| record.at);
+            writer.record_loss(batch.records.len() as u64, first);
+        } else if !killed || batch.records.len() > 1 {
+            writer.write(now, now, &batch.records);
         }
     }
 
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -26,7 +26,7 @@
     /// Name of the member that already holds the connection.
     pub adopted: Option<String>,
     /// Whether the client has been here before, as far as it says.
-    pub coming: ArrivalKind,
+    pub arrival: ArrivalKind,
     /// Whether the setup takes several exchanges with the member. Such a negotiation ends when the member
     /// drains.
     pub negotiates: bool,
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -262,7 +262,7 @@
 
     /// Counts a client that was turned away because no descriptor was left. `asked` is the class of its
     /// request, if it had sent one.
-    pub fn no_room(&mut self, asked: Option<ClassId>) {
+    pub fn descriptors_exhausted(&mut self, asked: Option<ClassId>) {
         self.counters.no_room += 1;
         if let Some(class) = asked {
             self.counters.asks += 1;
@@ -392,7 +392,7 @@
     }
 
     /// Sets the number of nodes that share the pool, this one included, as its view of the fleet shows.
-    pub fn sharing(&mut self, now: Millis, nodes: u32) {
+    pub fn set_node_count(&mut self, now: Millis, nodes: u32) {
         self.probing.set_node_count(nodes);
         self.feed(now, Event::NodeCount(nodes));
     }
--- a/src/broker/recorder.rs
+++ b/src/broker/recorder.rs
@@ -63,7 +63,7 @@
 
 impl Broker {
     /// Starts recording. The first records are the known pool.
-    pub fn record(&mut self, now: Millis) {
+    pub fn start_recording(&mut self, now: Millis) {
         self.recorder.recording = true;
         let members = self.pool.members().count() as u32;
         self.recorder.append(now, || record::Started { members }.into());
@@ -276,8 +276,8 @@
 }
 
 impl From<ArrivalKind> for record::ArrivalKind {
-    fn from(coming: ArrivalKind) -> Self {
-        match coming {
+    fn from(arrival: ArrivalKind) -> Self {
+        match arrival {
             ArrivalKind::First => record::ArrivalKind::First,
             ArrivalKind::Retry => record::ArrivalKind::Retry,
             ArrivalKind::Return => record::ArrivalKind::Return,
--- a/src/broker/requests.rs
+++ b/src/broker/requests.rs
@@ -30,7 +30,7 @@
                 transaction: id.0,
                 class: client_request.class.0,
                 tenant: client_request.tenant.0,
-                coming: client_request.coming.into(),
+                coming: client_request.arrival.into(),
                 adopted: client_request.adopted.is_some(),
                 grace_ms: client_request.grace_ms as f32,
             };
--- a/src/broker/tests.rs
+++ b/src/broker/tests.rs
@@ -40,7 +40,7 @@
         grace_ms: 1_000.0,
         load_hint: None,
         adopted: None,
-        coming: ArrivalKind::First,
+        arrival: ArrivalKind::First,
         negotiates: false,
     }
 }
@@ -561,7 +561,7 @@
 #[test]
 fn a_drain_is_not_recorded_as_a_shutdown() {
     let mut harness = Harness::new(&["a"]);
-    harness.broker.record(0.0);
+    harness.broker.start_recording(0.0);
     let ends = |harness: &mut Harness| {
         let batch = harness.broker.take_records(Vec::new()).records;
         batch.iter().filter(|record| matches!(record.event, record::Event::Leaving(_))).count()
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -106,7 +106,7 @@
     let folder = if is_voter { open_folder(&node, &link, &agree).await } else { None };
     if let Some(folder) = &folder {
         match folder.read() {
-            Ok(persist_founders) => participant.borrow_mut().folder_opened(persist_founders),
+            Ok(found) => participant.borrow_mut().folder_opened(found),
             Err(error) => participant.borrow_mut().stop(&error.to_string()),
         }
     }
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -387,7 +387,7 @@
     let sharing = link.fleet.borrow().sharing(node.clock.now() as u64);
     if let Some(nodes) = sharing.filter(|_| sharing != link.sharing.replace(sharing)) {
         info!(node.log, "number of nodes sharing the pool changed"; "nodes" => nodes);
-        node.with(|broker, now| broker.sharing(now, nodes));
+        node.with(|broker, now| broker.set_node_count(now, nodes));
     }
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -246,7 +246,7 @@
     /// Counts and logs a client that is rejected for lack of descriptors; `asked` is the class it requested,
     /// if any.
     fn no_room(&self, id: TransactionId, peer: SocketAddr, asked: Option<ClassId>) {
-        self.broker.borrow_mut().no_room(asked);
+        self.broker.borrow_mut().descriptors_exhausted(asked);
         if self.may_log() {
             let held = self.descriptors.borrow().usage();
             let (asked, client) = (asked.is_some(), peer);
@@ -339,7 +339,7 @@
     }
     let recorder = match &config.records {
         Some(records) => {
-            broker.record(clock.now());
+            broker.start_recording(clock.now());
             Some(Recorder::start(records, &config, clock.now(), log.clone())?)
         }
         None => None,
--- a/src/net/recorder.rs
+++ b/src/net/recorder.rs
@@ -161,13 +161,13 @@
             if !std::mem::replace(&mut dropping, true) {
                 warn!(log, "records dropped, writer is behind"; "records" => missed);
             }
-            writer.missed(missed, since);
+            writer.record_loss(missed, since);
         } else {
             dropping = false;
         }
         writer.write(now, wall, &records);
         lost.store(writer.lost(), Relaxed);
-        while let Some(notice) = writer.notice() {
+        while let Some(notice) = writer.next_notice() {
             match notice {
                 Notice::WriteFailed(error) => error!(log, "records not written"; "error" => %error),
                 Notice::Recovered(lost) => info!(log, "records written again"; "lost" => lost),
--- a/src/platform/first_line.rs
+++ b/src/platform/first_line.rs
@@ -114,7 +114,7 @@
         grace_ms: wait_ms - ANSWER_MARGIN_MS,
         load_hint: open.field("h").and_then(|hint| hint.parse().ok()),
         adopted: open.field("at").map(str::to_owned),
-        coming: arrival_kind(open),
+        arrival: arrival_kind(open),
         negotiates: false,
     })
 }
--- a/src/xmpp/mod.rs
+++ b/src/xmpp/mod.rs
@@ -265,7 +265,7 @@
             grace_ms: self.settings.services[class].1 - ANSWER_MARGIN_MS,
             load_hint: None,
             adopted: None,
-            coming: ArrivalKind::First,
+            arrival: ArrivalKind::First,
             negotiates: true,
         }));
     }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -280,7 +280,7 @@
     WarmupScenario { nodes: 20, members: 10, cold_members: 3, rate: 20.0, ..SLOW };
 
 /// The largest excess over these seeds, and the smallest mean that the new members of one seed got.
-pub fn worst(scenario: WarmupScenario, seeds: u64) -> (f64, f64) {
+pub fn worst_over_seeds(scenario: WarmupScenario, seeds: u64) -> (f64, f64) {
     let results = (0..seeds).map(|seed| simulate(scenario, seed));
     let (most, least) = results.fold((f64::NEG_INFINITY, f64::INFINITY), |(most, least), (over, sent)| {
         (most.max(over), least.min(sent))
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -11,7 +11,7 @@
     for play in [SLOW, QUICK, LONG, TWENTY] {
         for surge in [0.0, 5.0, 15.0] {
             for groups in [play.groups, 0] {
-                let (most, least) = worst(WarmupScenario { surge, groups, ..play }, 4);
+                let (most, least) = worst_over_seeds(WarmupScenario { surge, groups, ..play }, 4);
                 assert!(most <= 0.0, "{most:+.2} too many");
                 assert!(least >= 2.0, "newcomers stand idle");
             }
@@ -23,7 +23,7 @@
 fn three_hundred_gateways_spare_newcomers_where_requests_have_no_groups() {
     let play = WarmupScenario { nodes: 300, members: 80, cold_members: 40, rate: 80.0, groups: 0, ..SLOW };
     for surge in [0.0, 10.0] {
-        let (most, least) = worst(WarmupScenario { surge, ..play }, 2);
+        let (most, least) = worst_over_seeds(WarmupScenario { surge, ..play }, 2);
         assert!(most <= 0.0 && least >= 2.0, "{most:+.2} too many");
     }
 }
@@ -39,7 +39,7 @@
         groups: 56,
         ..SLOW
     };
-    let (most, least) = worst(play, 2);
+    let (most, least) = worst_over_seeds(play, 2);
     assert!(most <= 0.0 && least >= 2.0, "{most:+.2} too many");
 }
 
@@ -58,6 +58,8 @@
         ..SLOW
     };
     let all = [(false, 0.0), (true, 0.0), (false, 2.0), (true, 2.0)];
-    let all = all.map(|(nodes_restarted, surge)| worst(WarmupScenario { nodes_restarted, surge, ..play }, 3));
+    let all = all.map(|(nodes_restarted, surge)| {
+        worst_over_seeds(WarmupScenario { nodes_restarted, surge, ..play }, 3)
+    });
     assert!(all.iter().all(|(most, least)| *most <= 0.0 && *least >= 2.0), "{all:.2?}");
 }
