--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -77,7 +77,7 @@
             grace_ms: self.plan.classes[class].grace_ms,
             load_hint: None,
             adopted: None,
-            coming: arrival,
+            arrival,
             negotiates: false,
         };
         self.on_front_event(node, id, FrontEvent::ClientRequest(request));
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -16,7 +16,7 @@
         if let Some(folder) = &self.record_folder {
             let folder = folder.join(&node.name);
             std::fs::create_dir_all(&folder)?;
-            broker.record(now);
+            broker.start_recording(now);
             let header = Header {
                 node: node.name.clone(),
                 program: env!("CARGO_PKG_VERSION").into(),
@@ -83,11 +83,11 @@
         }
         let batch = broker.take_records(Vec::new());
         if let Some((missed, since)) = batch.missed {
-            writer.missed(missed, since);
+            writer.record_loss(missed, since);
         }
         if now < node.records_lost_until {
             let first = batch.records.first().map_or(now, |record| record.at);
-            writer.missed(batch.records.len() as u64, first);
+            writer.record_loss(batch.records.len() as u64, first);
         } else if !killed || batch.records.len() > 1 {
             writer.write(now, now, &batch.records);
         }
