--- a/crates/ops/src/console/app.rs
+++ b/crates/ops/src/console/app.rs
@@ -1,4 +1,4 @@
-//! What the console shows and what keys do; knows no terminal.
+//! State of the console and its key bindings, independent of the terminal.
 
 use super::source::Source;
 use hopmoor_incident::Board;
@@ -6,181 +6,183 @@
 use ratatui::crossterm::event::{KeyCode, KeyEvent, KeyModifiers};
 use std::time::Instant;
 
-/// Kinds of events that `f` goes through.
-const KINDS: [&str; 10] =
+/// Event filters that `f` cycles through; all but `all` and `bad` are values of [`Line::kind`].
+const EVENT_FILTERS: [&str; 10] =
     ["all", "bad", "node", "member", "answer", "flow", "probe", "delay", "move", "doubt"];
 
-/// Keys, as far as they do something.
+/// A key press, reduced to what the console tells apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Keys {
+pub enum KeyInput {
     /// A character.
     Char(char),
-    /// Arrows, with and without shift.
+    /// Left arrow; `true` with Shift.
     Left(bool),
-    /// See `Left`.
+    /// Right arrow; `true` with Shift.
     Right(bool),
-    /// One row up.
+    /// Up arrow.
     Up,
-    /// One row down.
+    /// Down arrow.
     Down,
-    /// Older events.
+    /// Page Up.
     PageUp,
-    /// Newer events.
+    /// Page Down.
     PageDown,
-    /// The beginning.
     Home,
-    /// The end.
     End,
-    /// Takes what was typed.
     Enter,
-    /// Gives it up.
     Escape,
-    /// Takes back a character.
     Backspace,
     /// Ctrl-C.
     Interrupt,
-    /// Any other.
+    /// Any key without a binding.
     Other,
 }
 
-impl Keys {
-    /// The terminal's word for a key.
-    pub fn of(key: KeyEvent) -> Keys {
+impl KeyInput {
+    /// Converts the terminal's key event.
+    pub fn from_event(key: KeyEvent) -> KeyInput {
         let shift = key.modifiers.contains(KeyModifiers::SHIFT);
         match key.code {
-            KeyCode::Char('c') if key.modifiers.contains(KeyModifiers::CONTROL) => Keys::Interrupt,
-            KeyCode::Char(key) => Keys::Char(key),
-            KeyCode::Left => Keys::Left(shift),
-            KeyCode::Right => Keys::Right(shift),
-            KeyCode::Up => Keys::Up,
-            KeyCode::Down => Keys::Down,
-            KeyCode::PageUp => Keys::PageUp,
-            KeyCode::PageDown => Keys::PageDown,
-            KeyCode::Home => Keys::Home,
-            KeyCode::End => Keys::End,
-            KeyCode::Enter => Keys::Enter,
-            KeyCode::Esc => Keys::Escape,
-            KeyCode::Backspace => Keys::Backspace,
-            _ => Keys::Other,
+            KeyCode::Char('c') if key.modifiers.contains(KeyModifiers::CONTROL) => KeyInput::Interrupt,
+            KeyCode::Char(key) => KeyInput::Char(key),
+            KeyCode::Left => KeyInput::Left(shift),
+            KeyCode::Right => KeyInput::Right(shift),
+            KeyCode::Up => KeyInput::Up,
+            KeyCode::Down => KeyInput::Down,
+            KeyCode::PageUp => KeyInput::PageUp,
+            KeyCode::PageDown => KeyInput::PageDown,
+            KeyCode::Home => KeyInput::Home,
+            KeyCode::End => KeyInput::End,
+            KeyCode::Enter => KeyInput::Enter,
+            KeyCode::Esc => KeyInput::Escape,
+            KeyCode::Backspace => KeyInput::Backspace,
+            _ => KeyInput::Other,
         }
     }
 }
 
-/// The console.
+/// State of the console.
 pub struct App {
-    /// Where records come from.
+    /// Where records are read from.
     pub source: Source,
-    /// How things stand.
+    /// State of nodes, members and tenants at the time shown.
     pub board: Board,
-    /// First member shown.
-    pub first: usize,
-    /// Events back from the newest.
-    pub back: usize,
-    /// Text that an event must hold.
+    /// Index of the first member row shown.
+    pub first_member: usize,
+    /// Number of newest matching events scrolled past.
+    pub scroll_back: usize,
+    /// Text that an event must contain to be shown; empty for all.
     pub filter: String,
-    /// What is being typed, while it is.
-    pub typing: Option<String>,
-    /// Whether all keys are shown.
-    pub help: bool,
-    kind: usize,
-    last: Option<Instant>,
-    over: bool,
+    /// The filter text being typed; `None` outside filter input.
+    pub filter_input: Option<String>,
+    /// Whether the list of all keys is shown.
+    pub show_help: bool,
+    /// Index into [`EVENT_FILTERS`].
+    filter_index: usize,
+    last_advance: Option<Instant>,
+    quit: bool,
 }
 
 impl App {
-    /// A console on a source.
+    /// Creates a console that shows records of `source`.
     pub fn new(source: Source) -> App {
         App {
             source,
             board: Board::default(),
-            first: 0,
-            back: 0,
+            first_member: 0,
+            scroll_back: 0,
             filter: String::new(),
-            typing: None,
-            help: false,
-            kind: 0,
-            last: None,
-            over: false,
+            filter_input: None,
+            show_help: false,
+            filter_index: 0,
+            last_advance: None,
+            quit: false,
         }
     }
 
-    /// Whether it was left.
-    pub fn over(&self) -> bool {
-        self.over
+    /// Whether the operator asked to quit.
+    pub fn should_quit(&self) -> bool {
+        self.quit
     }
 
-    /// Takes what has come since.
+    /// Advances a replay by the time passed since the last call, or reads what nodes have written since.
     pub fn advance(&mut self, now: Instant) {
-        let passed = self.last.map_or(0.0, |last| now.duration_since(last).as_secs_f64() * 1_000.0);
-        self.last = Some(now);
-        self.source.advance(passed, &mut self.board);
+        let passed_ms =
+            self.last_advance.map_or(0.0, |last| now.duration_since(last).as_secs_f64() * 1_000.0);
+        self.last_advance = Some(now);
+        self.source.advance(passed_ms, &mut self.board);
     }
 
-    /// Goes to a time; earlier ones are read from the beginning again.
-    pub fn seek(&mut self, to: f64) {
-        if self.source.seek(to, &mut self.board) {
-            self.back = 0;
+    /// Moves a replay to a time in Unix milliseconds; going back reads the records from the beginning again.
+    pub fn seek(&mut self, to_ms: f64) {
+        if self.source.seek(to_ms, &mut self.board) {
+            self.scroll_back = 0;
         }
     }
 
-    /// What the filter is called.
-    pub fn kind(&self) -> &'static str {
-        KINDS[self.kind]
+    /// Name of the current event filter.
+    pub fn event_filter(&self) -> &'static str {
+        EVENT_FILTERS[self.filter_index]
     }
 
-    /// Whether an event is shown.
-    pub fn shows(&self, line: &Line) -> bool {
-        let kind = match self.kind() {
+    /// Whether an event passes both the event filter and the text filter.
+    pub fn is_shown(&self, line: &Line) -> bool {
+        let kind_matches = match self.event_filter() {
             "all" => true,
             "bad" => line.bad,
             kind => line.kind == kind,
         };
-        kind && (self.filter.is_empty()
-            || line.text.contains(&self.filter)
-            || line.kind.contains(&self.filter)
-            || line.node.contains(&self.filter))
+        kind_matches
+            && (self.filter.is_empty()
+                || line.text.contains(&self.filter)
+                || line.kind.contains(&self.filter)
+                || line.node.contains(&self.filter))
     }
 
-    /// A key was pressed.
-    pub fn key(&mut self, key: Keys) {
-        if key == Keys::Interrupt {
-            self.over = true;
+    /// Handles a key press.
+    pub fn handle_key(&mut self, key: KeyInput) {
+        if key == KeyInput::Interrupt {
+            self.quit = true;
             return;
         }
-        if let Some(text) = &mut self.typing {
+        if let Some(text) = &mut self.filter_input {
             match key {
-                Keys::Char(key) if text.chars().count() < 60 => text.push(key),
-                Keys::Backspace => drop(text.pop()),
-                Keys::Enter => (self.filter, self.typing, self.back) = (text.clone(), None, 0),
-                Keys::Escape => self.typing = None,
+                KeyInput::Char(key) if text.chars().count() < 60 => text.push(key),
+                KeyInput::Backspace => drop(text.pop()),
+                KeyInput::Enter => {
+                    (self.filter, self.filter_input, self.scroll_back) = (text.clone(), None, 0)
+                }
+                KeyInput::Escape => self.filter_input = None,
                 _ => {}
             }
             return;
         }
-        let at = self.source.now(&self.board);
+        let now_ms = self.source.now(&self.board);
         match key {
-            Keys::Char('q') => self.over = true,
-            Keys::Escape if self.help => self.help = false,
-            Keys::Escape => self.filter.clear(),
-            Keys::Char('?' | 'h') => self.help = !self.help,
-            Keys::Char(' ') => self.source.pause(),
-            Keys::Char('+' | '=') => self.source.faster(2.0),
-            Keys::Char('-') => self.source.faster(0.5),
-            Keys::Char('.') => self.seek(at + 100.0),
-            Keys::Right(false) => self.seek(at + 1_000.0),
-            Keys::Left(false) => self.seek(at - 1_000.0),
-            Keys::Right(true) | Keys::Char('L' | ']') => self.seek(at + 10_000.0),
-            Keys::Left(true) | Keys::Char('H' | '[') => self.seek(at - 10_000.0),
-            Keys::Home | Keys::Char('g') => self.seek(f64::NEG_INFINITY),
-            Keys::End | Keys::Char('G') => self.seek(f64::INFINITY),
-            Keys::Char('f') => (self.kind, self.back) = ((self.kind + 1) % KINDS.len(), 0),
-            Keys::Char('/') => self.typing = Some(String::new()),
-            Keys::Up | Keys::Char('k') => self.first = self.first.saturating_sub(1),
-            Keys::Down | Keys::Char('j') => {
-                self.first = (self.first + 1).min(self.board.members.len().saturating_sub(1));
+            KeyInput::Char('q') => self.quit = true,
+            KeyInput::Escape if self.show_help => self.show_help = false,
+            KeyInput::Escape => self.filter.clear(),
+            KeyInput::Char('?' | 'h') => self.show_help = !self.show_help,
+            KeyInput::Char(' ') => self.source.toggle_pause(),
+            KeyInput::Char('+' | '=') => self.source.multiply_speed(2.0),
+            KeyInput::Char('-') => self.source.multiply_speed(0.5),
+            KeyInput::Char('.') => self.seek(now_ms + 100.0),
+            KeyInput::Right(false) => self.seek(now_ms + 1_000.0),
+            KeyInput::Left(false) => self.seek(now_ms - 1_000.0),
+            KeyInput::Right(true) | KeyInput::Char('L' | ']') => self.seek(now_ms + 10_000.0),
+            KeyInput::Left(true) | KeyInput::Char('H' | '[') => self.seek(now_ms - 10_000.0),
+            KeyInput::Home | KeyInput::Char('g') => self.seek(f64::NEG_INFINITY),
+            KeyInput::End | KeyInput::Char('G') => self.seek(f64::INFINITY),
+            KeyInput::Char('f') => {
+                (self.filter_index, self.scroll_back) = ((self.filter_index + 1) % EVENT_FILTERS.len(), 0)
             }
-            Keys::PageUp => self.back = (self.back + 5).min(self.board.lines.len()),
-            Keys::PageDown => self.back = self.back.saturating_sub(5),
+            KeyInput::Char('/') => self.filter_input = Some(String::new()),
+            KeyInput::Up | KeyInput::Char('k') => self.first_member = self.first_member.saturating_sub(1),
+            KeyInput::Down | KeyInput::Char('j') => {
+                self.first_member = (self.first_member + 1).min(self.board.members.len().saturating_sub(1));
+            }
+            KeyInput::PageUp => self.scroll_back = (self.scroll_back + 5).min(self.board.lines.len()),
+            KeyInput::PageDown => self.scroll_back = self.scroll_back.saturating_sub(5),
             _ => {}
         }
     }
--- a/crates/ops/src/console/mod.rs
+++ b/crates/ops/src/console/mod.rs
@@ -1,11 +1,11 @@
-//! `console`: the site as its records tell, live or replayed.
+//! `console`: nodes, members, tenants and events in the terminal, from the records, live or replayed.
 
 mod app;
 mod source;
 mod view;
 
 use crate::Failed;
-use app::{App, Keys};
+use app::{App, KeyInput};
 use ratatui::crossterm::event::{self, Event, KeyEventKind};
 use source::Source;
 use std::path::PathBuf;
@@ -14,8 +14,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The screen is drawn anew this often, and after each key.
-const FRAME: Duration = Duration::from_millis(100);
+/// Interval at which the screen is redrawn; key presses redraw it at once.
+const FRAME_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Arguments of `console`.
 #[derive(clap::Args)]
@@ -39,8 +39,8 @@
 
 impl Console {
     pub fn run(self) -> Result<ExitCode, Failed> {
-        // Wrong folders are told before the screen is taken.
-        crate::listed(&self.folders)?;
+        // Errors in the folders are reported before the terminal is switched to full screen.
+        crate::list_folders(&self.folders)?;
         let source = match &self.at {
             None => Source::live(&self.folders)?,
             Some(at) => Source::replay(&self.folders, at, self.speed)?,
@@ -51,18 +51,20 @@
             signal_hook::flag::register(signal, stop.clone())?;
         }
         let mut app = App::new(source);
-        // Gives the terminal back on a panic as well.
+        // Installs a panic hook that restores the terminal, too.
         let mut terminal = ratatui::try_init()?;
-        let ended = (|| -> std::io::Result<()> {
-            let mut drawn = Instant::now();
-            while !app.over() && !stop.load(Ordering::Relaxed) {
+        let result = (|| -> std::io::Result<()> {
+            let mut last_frame = Instant::now();
+            while !app.should_quit() && !stop.load(Ordering::Relaxed) {
                 app.advance(Instant::now());
                 terminal.draw(|frame| view::draw(frame, &app))?;
-                let left = FRAME.saturating_sub(drawn.elapsed());
-                drawn = Instant::now();
-                if event::poll(left.max(Duration::from_millis(10)))? {
+                let time_left = FRAME_INTERVAL.saturating_sub(last_frame.elapsed());
+                last_frame = Instant::now();
+                if event::poll(time_left.max(Duration::from_millis(10)))? {
                     match event::read()? {
-                        Event::Key(key) if key.kind == KeyEventKind::Press => app.key(Keys::of(key)),
+                        Event::Key(key) if key.kind == KeyEventKind::Press => {
+                            app.handle_key(KeyInput::from_event(key))
+                        }
                         _ => {}
                     }
                 }
@@ -70,7 +72,7 @@
             Ok(())
         })();
         ratatui::try_restore()?;
-        ended?;
+        result?;
         Ok(ExitCode::SUCCESS)
     }
 }
--- a/crates/ops/src/console/source.rs
+++ b/crates/ops/src/console/source.rs
@@ -1,6 +1,7 @@
-//! Where the console's records come from: the tails of folders that nodes write to, or the past.
+//! Sources of the console's records: live tails of the folders that nodes write to, or a replay of past
+//! records.
 
-use crate::{Failed, merged};
+use crate::{Failed, merge_folders};
 use hopmoor_incident::Board;
 use hopmoor_page::time;
 use hopmoor_record::folder::Item;
@@ -9,99 +10,106 @@
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Items taken from one folder at a time: guards against a screen that stands still while much is read.
-const MOST: usize = 20_000;
+/// Maximum number of items read from one folder per poll, so that a long backlog does not freeze the screen.
+const MAX_ITEMS_PER_POLL: usize = 20_000;
 
-/// Records as time passes.
+/// A stream of records.
 pub enum Source {
-    /// What nodes write now.
+    /// Follows what nodes write now.
     Live(Live),
-    /// What they wrote.
+    /// Replays what nodes wrote earlier.
     Replay(Replay),
 }
 
-/// The tails of folders.
+/// Live tails of the nodes' folders.
 pub struct Live {
+    /// For each folder its tail, the start time of the node's current run, and the time of the last item
+    /// read.
     tails: Vec<(Tail, Option<f64>, f64)>,
     paused: bool,
 }
 
-/// Records of the past, and the time that a replay has come to.
+/// A replay of past records. Times are Unix milliseconds.
 pub struct Replay {
     folders: Vec<PathBuf>,
     records: Merged,
+    /// The first step after `position`.
     next: Option<(Origin, f64, Step)>,
-    at: f64,
-    from: f64,
+    /// The time replayed up to.
+    position: f64,
+    /// Time of the first record.
+    start: f64,
     speed: f64,
     paused: bool,
-    ended: bool,
+    at_end: bool,
 }
 
 impl Source {
-    /// Follows folders.
+    /// Follows folders from their oldest segment on.
     pub fn live(folders: &[PathBuf]) -> Result<Source, Failed> {
         let tails = folders.iter().map(|folder| Ok((Tail::new(folder, true)?, None, 0.0)));
         Ok(Source::Live(Live { tails: tails.collect::<Result<_, Failed>>()?, paused: false }))
     }
 
-    /// Replays folders from a time on.
+    /// Replays folders from the time `at` on: `start`, or a time as [`time::parse`] takes it.
     pub fn replay(folders: &[PathBuf], at: &str, speed: f64) -> Result<Source, Failed> {
-        let mut records = merged(folders)?;
+        let mut records = merge_folders(folders)?;
         let next = records.next();
-        let from = next.as_ref().map_or(0.0, |(_, at, _)| *at);
-        let at = if at == "start" { from } else { time::read(at, from)? };
-        let (folders, paused, ended) = (folders.to_vec(), false, false);
-        Ok(Source::Replay(Replay { folders, records, next, at, from, speed, paused, ended }))
+        let start = next.as_ref().map_or(0.0, |(_, at, _)| *at);
+        let position = if at == "start" { start } else { time::parse(at, start)? };
+        let (folders, paused, at_end) = (folders.to_vec(), false, false);
+        Ok(Source::Replay(Replay { folders, records, next, position, start, speed, paused, at_end }))
     }
 
-    /// Lets time pass.
+    /// Reads what nodes have written since, or advances a replay that runs by `passed_ms` times its speed.
     pub fn advance(&mut self, passed_ms: f64, board: &mut Board) {
         match self {
             Source::Live(live) => live.poll(board),
             Source::Replay(replay) => {
-                if !replay.paused && !replay.ended {
-                    replay.at += passed_ms * replay.speed;
+                if !replay.paused && !replay.at_end {
+                    replay.position += passed_ms * replay.speed;
                 }
-                replay.read(board);
+                replay.feed_until_position(board);
             }
         }
     }
 
-    /// Goes to a time of a replay; says whether it did.
-    pub fn seek(&mut self, to: f64, board: &mut Board) -> bool {
+    /// Moves a replay to a time and returns `true`; `false` if the source is live or its folders cannot be
+    /// read.
+    pub fn seek(&mut self, to_ms: f64, board: &mut Board) -> bool {
         let Source::Replay(replay) = self else { return false };
-        if to < replay.at {
-            // What was taken in can't be taken back: it is read from the beginning again.
-            let Ok(records) = merged(&replay.folders) else { return false };
+        if to_ms < replay.position {
+            // The board cannot undo steps: going back starts over from the first record.
+            let Ok(records) = merge_folders(&replay.folders) else { return false };
             replay.records = records;
             replay.next = replay.records.next();
             *board = Board::default();
         }
-        replay.ended = false;
-        replay.at = to.max(replay.from);
-        replay.read(board);
-        if replay.ended {
-            replay.at = board.now;
+        replay.at_end = false;
+        replay.position = to_ms.max(replay.start);
+        replay.feed_until_position(board);
+        if replay.at_end {
+            replay.position = board.now;
         }
         true
     }
 
-    /// The time that is shown.
+    /// The time shown, in Unix milliseconds.
     pub fn now(&self, board: &Board) -> f64 {
         match self {
             Source::Live(_) => {
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                let wall = unix.as_secs_f64() * 1_000.0;
-                // Records of another day are looked at from their own end.
-                if (wall - board.now).abs() < 3_600_000.0 { wall.max(board.now) } else { board.now }
+                let host_ms = unix.as_secs_f64() * 1_000.0;
+                // If the newest record is not within an hour of the host's clock, the records are from
+                // another time: their own end is shown.
+                if (host_ms - board.now).abs() < 3_600_000.0 { host_ms.max(board.now) } else { board.now }
             }
-            Source::Replay(replay) => replay.at,
+            Source::Replay(replay) => replay.position,
         }
     }
 
-    /// Stops time, or lets it go on.
-    pub fn pause(&mut self) {
+    /// Pauses, or resumes after a pause.
+    pub fn toggle_pause(&mut self) {
         let paused = match self {
             Source::Live(live) => &mut live.paused,
             Source::Replay(replay) => &mut replay.paused,
@@ -109,38 +117,39 @@
         *paused = !*paused;
     }
 
-    /// A replay goes so many times as fast.
-    pub fn faster(&mut self, by: f64) {
+    /// Multiplies the speed of a replay by a factor, within the bounds of `--speed`.
+    pub fn multiply_speed(&mut self, factor: f64) {
         if let Source::Replay(replay) = self {
-            replay.speed = (replay.speed * by).clamp(0.1, 1_000.0);
+            replay.speed = (replay.speed * factor).clamp(0.1, 1_000.0);
         }
     }
 
-    /// What it is, for the head of the screen.
-    pub fn word(&self) -> String {
+    /// Label for the head of the screen: live or replay, speed, paused, at the end.
+    pub fn status_label(&self) -> String {
         match self {
             Source::Live(live) if live.paused => "LIVE, paused".into(),
             Source::Live(_) => "LIVE".into(),
-            Source::Replay(replay) if replay.ended => "REPLAY, at the end".into(),
+            Source::Replay(replay) if replay.at_end => "REPLAY, at the end".into(),
             Source::Replay(replay) if replay.paused => format!("REPLAY x{}, paused", replay.speed),
             Source::Replay(replay) => format!("REPLAY x{}", replay.speed),
         }
     }
 
-    /// Whether it can be sought in.
-    pub fn seeks(&self) -> bool {
+    /// Whether [`Source::seek`] works.
+    pub fn can_seek(&self) -> bool {
         matches!(self, Source::Replay(_))
     }
 }
 
 impl Live {
+    /// Reads new items of all folders and feeds them in the order of their times.
     fn poll(&mut self, board: &mut Board) {
         if self.paused {
             return;
         }
         let mut steps = Vec::new();
-        for (at, (tail, run, last)) in self.tails.iter_mut().enumerate() {
-            for item in tail.poll(MOST) {
+        for (index, (tail, run, last)) in self.tails.iter_mut().enumerate() {
+            for item in tail.poll(MAX_ITEMS_PER_POLL) {
                 let step = match item {
                     Item::Segment(header) if *run == Some(header.started) => continue,
                     Item::Segment(header) => {
@@ -154,7 +163,7 @@
                     }
                     Item::Damaged(path, damage) => Step::Damaged(path, damage),
                 };
-                steps.push((Origin(at), *last, step));
+                steps.push((Origin(index), *last, step));
             }
         }
         steps.sort_by(|a, b| a.1.total_cmp(&b.1));
@@ -163,11 +172,12 @@
 }
 
 impl Replay {
-    fn read(&mut self, board: &mut Board) {
-        while let Some((origin, at, step)) = self.next.take_if(|(_, at, _)| *at <= self.at) {
+    /// Feeds all steps up to `position`.
+    fn feed_until_position(&mut self, board: &mut Board) {
+        while let Some((origin, at, step)) = self.next.take_if(|(_, at, _)| *at <= self.position) {
             board.feed(origin, at, &step);
             self.next = self.records.next();
         }
-        self.ended = self.next.is_none();
+        self.at_end = self.next.is_none();
     }
 }
--- a/crates/ops/src/console/tests.rs
+++ b/crates/ops/src/console/tests.rs
@@ -13,7 +13,7 @@
 }
 
 fn type_in(app: &mut App, text: &str) {
-    text.chars().for_each(|key| app.key(Keys::Char(key)));
+    text.chars().for_each(|key| app.handle_key(KeyInput::Char(key)));
 }
 
 #[test]
@@ -26,28 +26,37 @@
     let mut app = App::new(source);
     app.advance(Instant::now());
     app.seek(BEGAN + 70_000.0);
-    let silent = screen(&app, 80, 24);
-    let row = silent.lines().find(|line| line.contains("s-3")).unwrap_or_else(|| panic!("{silent}"));
-    assert!(row.contains("silent"), "{silent}");
-    assert!(silent.contains("red-clay-guild") && silent.contains("no answer"), "{silent}");
-    assert!(silent.contains("quit") && silent.contains("REPLAY"), "keys are on the screen: {silent}");
+    let during_silence = screen(&app, 80, 24);
+    let row = during_silence
+        .lines()
+        .find(|line| line.contains("s-3"))
+        .unwrap_or_else(|| panic!("{during_silence}"));
+    assert!(row.contains("silent"), "{during_silence}");
+    assert!(
+        during_silence.contains("red-clay-guild") && during_silence.contains("no answer"),
+        "{during_silence}"
+    );
+    assert!(
+        during_silence.contains("quit") && during_silence.contains("REPLAY"),
+        "keys are on the screen: {during_silence}"
+    );
     app.seek(BEGAN + 125_000.0);
     assert!(screen(&app, 80, 24).lines().any(|line| line.contains("s-5") && line.contains("draining")));
     app.seek(BEGAN + 50_000.0);
-    let calm = screen(&app, 80, 24);
-    assert!(!calm.contains("silent") && !calm.contains("draining"), "{calm}");
-    // A filter shows only what holds its text; the screen bears any size.
+    let before_faults = screen(&app, 80, 24);
+    assert!(!before_faults.contains("silent") && !before_faults.contains("draining"), "{before_faults}");
+    // The text filter hides all other events; drawing works at any size of the terminal.
     app.seek(BEGAN + 70_000.0);
-    app.key(Keys::Char('/'));
+    app.handle_key(KeyInput::Char('/'));
     type_in(&mut app, "probe");
-    app.key(Keys::Enter);
+    app.handle_key(KeyInput::Enter);
     let filtered = screen(&app, 80, 24);
     assert!(filtered.contains("probe of s-3") && !filtered.contains("attempt at"), "{filtered}");
     for (width, height) in [(1, 1), (20, 5), (79, 23), (200, 60)] {
         screen(&app, width, height);
     }
-    app.key(Keys::Char('q'));
-    assert!(app.over());
+    app.handle_key(KeyInput::Char('q'));
+    assert!(app.should_quit());
 }
 
 #[test]
@@ -64,8 +73,8 @@
     app.advance(Instant::now());
     let first = screen(&app, 80, 24);
     assert!(first.contains("LIVE") && first.contains("s-1"), "{first}");
-    app.key(Keys::Char('f'));
-    app.key(Keys::Char('f'));
+    app.handle_key(KeyInput::Char('f'));
+    app.handle_key(KeyInput::Char('f'));
     let nodes = screen(&app, 80, 24);
     assert_eq!(nodes.matches("n-1 runs, version").count(), 2, "{nodes}");
     assert!(nodes.contains("had ended without a word"), "{nodes}");
--- a/crates/ops/src/console/view.rs
+++ b/crates/ops/src/console/view.rs
@@ -1,4 +1,5 @@
-//! The screen: head, members, tenants, events and keys. It holds at 80 by 24, and bears less.
+//! Layout of the screen: head, members, tenants, events and keys. Everything fits into 80 by 24 cells;
+//! smaller terminals cut it off without an error.
 
 use super::app::App;
 use hopmoor_incident::board::{Row, Second};
@@ -9,7 +10,8 @@
 use ratatui::text::{Line, Span};
 use ratatui::widgets::{Block, Borders, Cell, Clear, Paragraph, Row as TableRow, Table};
 
-const KEYS: &[(&str, &str)] = &[
+/// Key bindings and what they do, for the help pop-up.
+const KEY_HELP: &[(&str, &str)] = &[
     ("q", "quit"),
     ("space", "pause, go on"),
     ("left, right", "1 s back, on (replay)"),
@@ -24,26 +26,26 @@
     ("?", "these keys"),
 ];
 
-/// Draws the console.
+/// Draws the whole screen.
 pub fn draw(frame: &mut Frame, app: &App) {
     let tenants = app.board.tenants();
     let tenant_rows = if tenants.is_empty() { 0 } else { tenants.len().min(4) as u16 + 2 };
-    let half = usize::from(frame.area().height.saturating_sub(6)) / 2 + 1;
-    let members = (app.board.members.len() + 2).min(half).max(4) as u16;
-    let parts = [
+    let max_member_rows = usize::from(frame.area().height.saturating_sub(6)) / 2 + 1;
+    let member_rows = (app.board.members.len() + 2).min(max_member_rows).max(4) as u16;
+    let constraints = [
         Constraint::Length(1),
-        Constraint::Length(members),
+        Constraint::Length(member_rows),
         Constraint::Length(tenant_rows),
         Constraint::Min(3),
         Constraint::Length(1),
     ];
-    let [head, top, middle, events, keys] = Layout::vertical(parts).areas(frame.area());
+    let [head, member_area, tenant_area, events, keys] = Layout::vertical(constraints).areas(frame.area());
     draw_head(frame, app, head);
-    draw_members(frame, app, top);
-    draw_tenants(frame, app, middle);
+    draw_members(frame, app, member_area);
+    draw_tenants(frame, app, tenant_area);
     draw_events(frame, app, events);
     draw_keys(frame, app, keys);
-    if app.help {
+    if app.show_help {
         draw_help(frame);
     }
 }
@@ -51,12 +53,12 @@
 fn draw_head(frame: &mut Frame, app: &App, area: Rect) {
     let board = &app.board;
     let now = app.source.now(board);
-    let (served, turned) = board.rates();
-    let turned_style = if turned > 0.0 { Style::new().fg(Color::Red) } else { Style::new() };
+    let (served_per_s, turned_away_per_s) = board.rates();
+    let turned_away_style = if turned_away_per_s > 0.0 { Style::new().fg(Color::Red) } else { Style::new() };
     let mut line = vec![
-        Span::from(format!(" {} ", app.source.word())).bold().reversed(),
-        Span::from(format!(" {}  served {served:.1}/s  ", time::clock(now))),
-        Span::styled(format!("turned away {turned:.1}/s "), turned_style),
+        Span::from(format!(" {} ", app.source.status_label())).bold().reversed(),
+        Span::from(format!(" {}  served {served_per_s:.1}/s  ", time::clock(now))),
+        Span::styled(format!("turned away {turned_away_per_s:.1}/s "), turned_away_style),
     ];
     for node in &board.nodes {
         let style = if node.running { Style::new().fg(Color::Green) } else { Style::new().fg(Color::Red) };
@@ -68,7 +70,7 @@
     frame.render_widget(Line::from(line), area);
 }
 
-fn colour(state: &str) -> Color {
+fn state_colour(state: &str) -> Color {
     match state {
         "serving" => Color::Green,
         "draining" | "cold" => Color::Cyan,
@@ -78,14 +80,16 @@
     }
 }
 
-/// The last seconds of a member: how many attempts it served, and whether one failed.
+/// One bar per second of a member: its height is the number of attempts, its colour says whether they were
+/// served (green), failed (red) or both (yellow).
 fn sparkline(row: &Row, now: f64, width: usize) -> Line<'static> {
     const BARS: [char; 9] = ['\u{b7}', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let seconds = row.recent(now, width);
-    let most = seconds.iter().map(|second| second.served + second.failed).max().unwrap_or(0).max(4);
+    let peak = seconds.iter().map(|second| second.served + second.failed).max().unwrap_or(0).max(4);
     let bar = |second: &Second| {
-        let sum = second.served + second.failed;
-        let height = if sum == 0 { 0 } else { (usize::from(sum) * 8).div_ceil(usize::from(most)).min(8) };
+        let attempts = second.served + second.failed;
+        let height =
+            if attempts == 0 { 0 } else { (usize::from(attempts) * 8).div_ceil(usize::from(peak)).min(8) };
         let style = match (second.failed, second.served) {
             (0, 0) => Style::new().fg(Color::DarkGray),
             (0, _) => Style::new().fg(Color::Green),
@@ -97,7 +101,7 @@
     Line::from(seconds.iter().map(bar).collect::<Vec<_>>())
 }
 
-fn cell(text: String) -> Cell<'static> {
+fn right_cell(text: String) -> Cell<'static> {
     Cell::from(Line::from(text).right_aligned())
 }
 
@@ -105,26 +109,30 @@
     let now = app.source.now(&app.board);
     let rows = app.board.rows();
     let shown = usize::from(area.height.saturating_sub(2));
-    let first = app.first.min(rows.len().saturating_sub(shown));
-    let wide = usize::from(area.width).saturating_sub(12 + 17 + 6 + 6 + 7 + 8 + 6).max(4);
-    let lines = rows.iter().skip(first).take(shown).map(|row| {
-        let state = row.state();
-        let load = row.load(now);
-        let message = row
-            .seen
-            .values()
-            .filter_map(|seen| seen.message_ms)
-            .fold(None, |most: Option<f32>, ms| Some(most.map_or(ms, |most| most.max(ms))));
-        TableRow::new([
-            Cell::from(row.name.clone()),
-            Cell::from(state).style(Style::new().fg(colour(state))),
-            cell(load.map_or("-".into(), |(load, _)| format!("{load:.2}"))),
-            cell(row.open().to_string()),
-            cell(load.map_or("-".into(), |(_, age)| time::span(age).replace(" ms", "ms").replace(" s", "s"))),
-            cell(message.map_or("-".into(), |ms| format!("{ms:.0} ms"))),
-            Cell::from(sparkline(row, now, wide)),
-        ])
-    });
+    let first = app.first_member.min(rows.len().saturating_sub(shown));
+    // What the other columns and the space between columns leave.
+    let sparkline_width = usize::from(area.width).saturating_sub(12 + 17 + 6 + 6 + 7 + 8 + 6).max(4);
+    let lines =
+        rows.iter().skip(first).take(shown).map(|row| {
+            let state = row.state();
+            let load = row.load(now);
+            let slowest_message_ms = row
+                .seen
+                .values()
+                .filter_map(|seen| seen.message_ms)
+                .fold(None, |slowest: Option<f32>, ms| Some(slowest.map_or(ms, |slowest| slowest.max(ms))));
+            TableRow::new([
+                Cell::from(row.name.clone()),
+                Cell::from(state).style(Style::new().fg(state_colour(state))),
+                right_cell(load.map_or("-".into(), |(load, _)| format!("{load:.2}"))),
+                right_cell(row.open().to_string()),
+                right_cell(load.map_or("-".into(), |(_, age)| {
+                    time::duration(age).replace(" ms", "ms").replace(" s", "s")
+                })),
+                right_cell(slowest_message_ms.map_or("-".into(), |ms| format!("{ms:.0} ms"))),
+                Cell::from(sparkline(row, now, sparkline_width)),
+            ])
+        });
     let widths = [
         Constraint::Length(12),
         Constraint::Length(16),
@@ -134,24 +142,24 @@
         Constraint::Length(7),
         Constraint::Min(4),
     ];
-    let right = |text: &'static str| Cell::from(Line::from(text).right_aligned());
-    let names = TableRow::new([
+    let heading = |text: &'static str| Cell::from(Line::from(text).right_aligned());
+    let headings = TableRow::new([
         Cell::from("member"),
         Cell::from("state"),
-        right("load"),
-        right("held"),
-        right("age"),
-        right("message"),
+        heading("load"),
+        heading("held"),
+        heading("age"),
+        heading("message"),
         Cell::from("last seconds"),
     ]);
-    let below = rows.len().saturating_sub(first + shown);
-    let title = if first > 0 || below > 0 {
-        format!(" {} members, {first} above, {below} below ", rows.len())
+    let hidden_below = rows.len().saturating_sub(first + shown);
+    let title = if first > 0 || hidden_below > 0 {
+        format!(" {} members, {first} above, {hidden_below} below ", rows.len())
     } else {
         format!(" {} members ", rows.len())
     };
     let block = Block::new().borders(Borders::TOP).title(title);
-    let header = names.style(Style::new().add_modifier(Modifier::DIM));
+    let header = headings.style(Style::new().add_modifier(Modifier::DIM));
     frame.render_widget(Table::new(lines, widths).header(header).block(block), area);
 }
 
@@ -165,11 +173,11 @@
         let style = if share.queued > 0 { Style::new().fg(Color::Yellow) } else { Style::new() };
         TableRow::new([
             Cell::from(name),
-            cell(format!("{:.0}", share.demand)),
-            cell(format!("{:.0}", share.budget)),
-            cell(share.limit.to_string()),
-            cell(share.open.to_string()),
-            cell(share.queued.to_string()).style(style),
+            right_cell(format!("{:.0}", share.demand)),
+            right_cell(format!("{:.0}", share.budget)),
+            right_cell(share.limit.to_string()),
+            right_cell(share.open.to_string()),
+            right_cell(share.queued.to_string()).style(style),
         ])
     });
     let widths = [
@@ -180,14 +188,14 @@
         Constraint::Length(9),
         Constraint::Length(9),
     ];
-    let right = |text: &'static str| Cell::from(Line::from(text).right_aligned());
-    let names = TableRow::new([
+    let heading = |text: &'static str| Cell::from(Line::from(text).right_aligned());
+    let headings = TableRow::new([
         Cell::from("tenant"),
-        right("demand"),
-        right("budget"),
-        right("limit"),
-        right("open"),
-        right("queue"),
+        heading("demand"),
+        heading("budget"),
+        heading("limit"),
+        heading("open"),
+        heading("queue"),
     ]);
     let title = if hidden > 0 {
         format!(" tenants, {hidden} not shown ")
@@ -195,14 +203,21 @@
         " tenants, over all nodes ".into()
     };
     let block = Block::new().borders(Borders::TOP).title(title);
-    let header = names.style(Style::new().add_modifier(Modifier::DIM));
+    let header = headings.style(Style::new().add_modifier(Modifier::DIM));
     frame.render_widget(Table::new(lines, widths).header(header).block(block), area);
 }
 
 fn draw_events(frame: &mut Frame, app: &App, area: Rect) {
     let shown = usize::from(area.height.saturating_sub(1));
-    let mut lines: Vec<_> =
-        app.board.lines.iter().rev().filter(|line| app.shows(line)).skip(app.back).take(shown).collect();
+    let mut lines: Vec<_> = app
+        .board
+        .lines
+        .iter()
+        .rev()
+        .filter(|line| app.is_shown(line))
+        .skip(app.scroll_back)
+        .take(shown)
+        .collect();
     lines.reverse();
     let text = lines.into_iter().map(|line| {
         let style = if line.bad { Style::new().fg(Color::Red) } else { Style::new() };
@@ -212,23 +227,23 @@
             Span::styled(line.text.clone(), style),
         ])
     });
-    let mut title = format!(" events: {}", app.kind());
+    let mut title = format!(" events: {}", app.event_filter());
     if !app.filter.is_empty() {
         title += &format!(", with '{}'", app.filter);
     }
-    if app.back > 0 {
-        title += &format!(", {} back", app.back);
+    if app.scroll_back > 0 {
+        title += &format!(", {} back", app.scroll_back);
     }
     let block = Block::new().borders(Borders::TOP).title(title + " ");
     frame.render_widget(Paragraph::new(text.collect::<Vec<_>>()).block(block), area);
 }
 
 fn draw_keys(frame: &mut Frame, app: &App, area: Rect) {
-    let line = match &app.typing {
+    let line = match &app.filter_input {
         Some(text) => {
             Line::from(format!(" show events with: {text}\u{2588}  (Enter takes it, Esc gives it up)"))
         }
-        None if app.source.seeks() => Line::from(
+        None if app.source.can_seek() => Line::from(
             " q quit  space pause  \u{2190}\u{2192} 1 s  [ ] 10 s  -+ speed  f kind  / find  ? all keys",
         ),
         None => Line::from(
@@ -240,10 +255,10 @@
 
 fn draw_help(frame: &mut Frame) {
     let area = frame.area();
-    let (width, height) = (62.min(area.width), (KEYS.len() as u16 + 2).min(area.height));
-    let place = Rect::new((area.width - width) / 2, (area.height - height) / 2, width, height);
-    let lines = KEYS.iter().map(|(key, what)| Line::from(format!(" {key:>13}  {what}")));
+    let (width, height) = (62.min(area.width), (KEY_HELP.len() as u16 + 2).min(area.height));
+    let popup = Rect::new((area.width - width) / 2, (area.height - height) / 2, width, height);
+    let lines = KEY_HELP.iter().map(|(key, action)| Line::from(format!(" {key:>13}  {action}")));
     let block = Block::bordered().title(" keys ");
-    frame.render_widget(Clear, place);
-    frame.render_widget(Paragraph::new(lines.collect::<Vec<_>>()).block(block), place);
+    frame.render_widget(Clear, popup);
+    frame.render_widget(Paragraph::new(lines.collect::<Vec<_>>()).block(block), popup);
 }
--- a/crates/ops/src/demo.rs
+++ b/crates/ops/src/demo.rs
@@ -1,4 +1,5 @@
-//! A scripted incident on stand-ins, recorded as nodes would record it.
+//! `demo`: simulates a scripted incident with stand-ins for clients and members, and records it as nodes
+//! would.
 
 use crate::Failed;
 use hopmoor_standin::plan::Plan;
@@ -30,10 +31,11 @@
         let mut plan = match &self.plan {
             None => Plan::ten_minutes(),
             Some(file) => {
-                let about = |error: &dyn std::fmt::Display| Failed(format!("{}: {error}", file.display()));
-                let text = std::fs::read(file).map_err(|error| about(&error))?;
-                let plan: Plan = serde_json::from_slice(&text).map_err(|error| about(&error))?;
-                plan.check().map_err(|error| about(&error))?;
+                let with_path =
+                    |error: &dyn std::fmt::Display| Failed(format!("{}: {error}", file.display()));
+                let text = std::fs::read(file).map_err(|error| with_path(&error))?;
+                let plan: Plan = serde_json::from_slice(&text).map_err(|error| with_path(&error))?;
+                plan.check().map_err(|error| with_path(&error))?;
                 plan
             }
         };
@@ -47,19 +49,20 @@
             println!("{}", serde_json::to_string_pretty(&plan).map_err(|error| Failed(error.to_string()))?);
             return Ok(ExitCode::SUCCESS);
         };
-        let about = |error| Failed(format!("{}: {error}", folder.display()));
-        // Guards against records of two plays in one folder, which would read as one node's restarts.
-        std::fs::create_dir(folder).map_err(about)?;
-        let truth = hopmoor_world::play(&plan, Some(folder)).map_err(about)?;
+        let with_path = |error| Failed(format!("{}: {error}", folder.display()));
+        // Fails if the folder exists: records of two simulations in one folder would read as restarts of the
+        // same nodes.
+        std::fs::create_dir(folder).map_err(with_path)?;
+        let truth = hopmoor_world::play(&plan, Some(folder)).map_err(with_path)?;
         if self.truth {
             let text = serde_json::to_string_pretty(&truth).map_err(|error| Failed(error.to_string()))?;
-            std::fs::write(folder.join("truth.json"), text).map_err(about)?;
+            std::fs::write(folder.join("truth.json"), text).map_err(with_path)?;
         }
-        let of = |node: &String| shown(&folder.join(node));
-        let folders: Vec<String> = plan.nodes.iter().map(of).collect();
+        let node_folder = |node: &String| quoted(&folder.join(node));
+        let folders: Vec<String> = plan.nodes.iter().map(node_folder).collect();
         println!(
             "{} of {} clients at {} members, through {} nodes, were recorded.",
-            hopmoor_page::time::span(plan.until_ms),
+            hopmoor_page::time::duration(plan.until_ms),
             truth.clients,
             plan.members.len(),
             plan.nodes.len()
@@ -71,7 +74,8 @@
     }
 }
 
-fn shown(path: &Path) -> String {
+/// A path as a shell takes it: in quotes if it holds a space.
+fn quoted(path: &Path) -> String {
     let text = path.display().to_string();
     if text.contains(' ') { format!("'{text}'") } else { text }
 }
--- a/crates/ops/src/agree.rs
+++ b/crates/ops/src/drains.rs
@@ -1,4 +1,5 @@
-//! `fleet permits`, `fleet drain`, `fleet resume` and `fleet budget`: drains that the fleet agrees on.
+//! `fleet permits`, `fleet drain`, `fleet resume` and `fleet budget`: drains that the voters agree on through
+//! Raft.
 
 use crate::Failed;
 use crate::fleet::{call, table};
@@ -8,14 +9,14 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Between two looks whether a drain was granted.
-const LOOK: Duration = Duration::from_millis(500);
-/// Ends with this while a drain waits and is not waited for.
-const WAITS: u8 = 3;
+/// Interval at which `drain --wait` asks whether the drain was granted.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Exit status of `drain` without `--wait` while the request is pending.
+const EXIT_PENDING: u8 = 3;
 
 /// Drains that the fleet agrees on.
 #[derive(clap::Subcommand)]
-pub enum Agree {
+pub enum DrainCommand {
     /// Show what a voter's log holds: budgets, permits and what waits.
     Permits {
         /// Where operators call the node.
@@ -53,12 +54,17 @@
     },
 }
 
+/// The answer to `GET /-/permits`.
 #[derive(Deserialize)]
-struct Permits {
+struct AgreedState {
     node: String,
     votes: bool,
-    silent: Option<String>,
-    asks: Option<String>,
+    /// Why the node does not vote although it is a voter.
+    #[serde(rename = "silent")]
+    not_voting_reason: Option<String>,
+    /// How the node's own request to drain stands.
+    #[serde(rename = "asks")]
+    drain_request: Option<String>,
     leader: Option<String>,
     #[serde(default)]
     term: u64,
@@ -70,12 +76,15 @@
     permits: Vec<Permit>,
 }
 
+/// How many nodes of a scope (one zone, or all) may be out at once: a number or a percentage.
 #[derive(Deserialize)]
 struct Budget {
     scope: String,
-    most: String,
+    #[serde(rename = "most")]
+    max_out: String,
 }
 
+/// A request to drain in the log: granted with a permit number, or pending for a reason.
 #[derive(Deserialize)]
 struct Permit {
     node: String,
@@ -83,51 +92,52 @@
     waits_for: Option<String>,
 }
 
-impl Agree {
+impl DrainCommand {
     pub fn run(self) -> Result<ExitCode, Failed> {
         match self {
-            Agree::Permits { admin, json } => permits(admin, json),
-            Agree::Drain { admin, wait } => drain(admin, wait),
-            Agree::Resume { admin } => told(admin, "/-/resume"),
-            Agree::Budget { admin, zone, most } => {
+            DrainCommand::Permits { admin, json } => permits(admin, json),
+            DrainCommand::Drain { admin, wait } => drain(admin, wait),
+            DrainCommand::Resume { admin } => put_and_print(admin, "/-/resume"),
+            DrainCommand::Budget { admin, zone, most } => {
                 let encoded = |text: &str| utf8_percent_encode(text, NON_ALPHANUMERIC).to_string();
                 let zone = zone.map_or_else(String::new, |zone| format!("&zone={}", encoded(&zone)));
-                told(admin, &format!("/-/budget?most={}{zone}", encoded(&most)))
+                put_and_print(admin, &format!("/-/budget?most={}{zone}", encoded(&most)))
             }
         }
     }
 }
 
-fn refused(admin: SocketAddr, status: u16, body: &str) -> Failed {
+fn request_error(admin: SocketAddr, status: u16, body: &str) -> Failed {
     match status {
         404 => Failed(format!("{admin}: fleet.agree is not set in this node's operator's file")),
         _ => Failed(format!("{admin}: {}", body.trim())),
     }
 }
 
-fn told(admin: SocketAddr, place: &str) -> Result<ExitCode, Failed> {
-    let (status, body) = call(admin, "PUT", place)?;
+/// Sends a PUT request and prints the answer.
+fn put_and_print(admin: SocketAddr, path: &str) -> Result<ExitCode, Failed> {
+    let (status, body) = call(admin, "PUT", path)?;
     if !(200..300).contains(&status) {
-        return Err(refused(admin, status, &body));
+        return Err(request_error(admin, status, &body));
     }
     print!("{body}");
     Ok(ExitCode::SUCCESS)
 }
 
 fn drain(admin: SocketAddr, wait: bool) -> Result<ExitCode, Failed> {
-    let mut last = String::new();
+    let mut last_body = String::new();
     loop {
-        // The same call once more asks for nothing new: it tells how the first one stands.
+        // Repeating the call starts no second request: it returns the status of the first one.
         let (status, body) = call(admin, "PUT", "/-/drain")?;
-        if body != last {
+        if body != last_body {
             print!("{body}");
-            last = body.clone();
+            last_body = body.clone();
         }
         match status {
             200 => return Ok(ExitCode::SUCCESS),
-            202 if wait => std::thread::sleep(LOOK),
-            202 => return Ok(ExitCode::from(WAITS)),
-            _ => return Err(refused(admin, status, &body)),
+            202 if wait => std::thread::sleep(POLL_INTERVAL),
+            202 => return Ok(ExitCode::from(EXIT_PENDING)),
+            _ => return Err(request_error(admin, status, &body)),
         }
     }
 }
@@ -135,30 +145,31 @@
 fn permits(admin: SocketAddr, json: bool) -> Result<ExitCode, Failed> {
     let (status, body) = call(admin, "GET", "/-/permits")?;
     if status != 200 {
-        return Err(refused(admin, status, &body));
+        return Err(request_error(admin, status, &body));
     }
     if json {
         print!("{body}");
         return Ok(ExitCode::SUCCESS);
     }
-    let read = serde_json::from_str(&body);
-    let told: Permits = read.map_err(|error| Failed(format!("{admin}: not what is agreed: {error}")))?;
-    match (&told.asks, &told.silent) {
-        (_, Some(why)) => println!("{} does not vote: {why}", told.node),
-        _ if told.votes => {
-            let leader = told.leader.as_deref().unwrap_or("nobody: nothing is granted");
-            println!("{} votes; term {}, entry {}, led by {leader}", told.node, told.term, told.index);
+    let parsed = serde_json::from_str(&body);
+    let state: AgreedState =
+        parsed.map_err(|error| Failed(format!("{admin}: unexpected answer to /-/permits: {error}")))?;
+    match (&state.drain_request, &state.not_voting_reason) {
+        (_, Some(reason)) => println!("{} does not vote: {reason}", state.node),
+        _ if state.votes => {
+            let leader = state.leader.as_deref().unwrap_or("nobody: nothing is granted");
+            println!("{} votes; term {}, entry {}, led by {leader}", state.node, state.term, state.index);
         }
-        _ => println!("{} is no voter: ask one for what is agreed", told.node),
+        _ => println!("{} is no voter: ask one for what is agreed", state.node),
     }
-    if let Some(asks) = &told.asks {
-        println!("it asks to drain: {asks}");
+    if let Some(request) = &state.drain_request {
+        println!("it asks to drain: {request}");
     }
-    for budget in &told.budgets {
-        println!("{}: {} may be out", budget.scope, budget.most);
+    for budget in &state.budgets {
+        println!("{}: {} may be out", budget.scope, budget.max_out);
     }
     let mut rows = vec![["NODE", "PERMIT", "WAITS FOR"].map(str::to_owned)];
-    for permit in &told.permits {
+    for permit in &state.permits {
         let number = permit.permit.map_or_else(|| "-".to_owned(), |number| number.to_string());
         rows.push([permit.node.clone(), number, permit.waits_for.clone().unwrap_or_default()]);
     }
--- a/crates/ops/src/fleet.rs
+++ b/crates/ops/src/fleet.rs
@@ -1,7 +1,8 @@
-//! `fleet status`, `fleet compare` and `fleet keygen`.
+//! `fleet status`, `fleet compare` and `fleet keygen`: nodes' views of their fleet, and the keys that seal
+//! gossip.
 
 use crate::Failed;
-use crate::agree::Agree;
+use crate::drains::DrainCommand;
 use hopmoor_seal::{KEY_BYTES, Keys};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,12 +12,12 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A node answers operators within 1 s; whoever takes longer is not there.
-const WAIT: Duration = Duration::from_secs(2);
-/// Ends with this if somebody could not be asked.
-const NOT_TOLD: u8 = 2;
-/// Bytes of a digest that are shown.
-const SHOWN: usize = 8;
+/// Timeout of connecting to a node's admin address and of each read. A node that runs answers within 1 s.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Exit status of `compare` if the views agree but a node could not be asked.
+const EXIT_INCOMPLETE: u8 = 2;
+/// Number of characters of a digest that are shown.
+const SHORT_DIGEST_LEN: usize = 8;
 
 /// Ask nodes what they know of their fleet.
 #[derive(clap::Subcommand)]
@@ -43,7 +44,7 @@
     Keygen(Keygen),
     /// Drains that the fleet agrees on.
     #[command(flatten)]
-    Agree(Agree),
+    Drains(DrainCommand),
 }
 
 /// Arguments of `fleet keygen`.
@@ -60,23 +61,33 @@
     drop_old: bool,
 }
 
+/// A node's view of its fleet: the answer to `GET /-/fleet`.
 #[derive(Clone, Debug, Deserialize)]
 struct View {
     node: String,
     incarnation: u64,
+    /// Digest of the view; equal views have equal digests.
     digest: String,
+    /// Whether the view has not changed in the last 3 s.
     settled: bool,
-    doubts: u32,
+    /// Score of the node's doubt in its own health, 0 if it is healthy; raised by pauses of its process and
+    /// failed probes.
+    #[serde(rename = "doubts")]
+    health_score: u32,
+    /// Incarnation of a later process with this node's name, for which this process has stepped back.
     superseded_by: Option<u64>,
     members: Vec<Member>,
 }
 
+/// A node of the fleet as a view has it.
 #[derive(Clone, Debug, Deserialize)]
 struct Member {
     name: String,
+    /// `alive`, `suspect`, `dead` or `left`.
     state: String,
     incarnation: u64,
     advertise: String,
+    /// Milliseconds since the node of the view last heard from it.
     heard_ms: Option<u64>,
     #[serde(default)]
     zone: String,
@@ -93,27 +104,28 @@
 }
 
 impl Member {
-    /// What two views must have in common; suspicions and ages are each node's own.
-    fn held(&self) -> String {
-        let there = if self.state == "suspect" { "alive" } else { &self.state };
+    /// The state that two views must agree on. Suspicions and ages differ between nodes and are left out.
+    fn comparable_state(&self) -> String {
+        let state = if self.state == "suspect" { "alive" } else { &self.state };
         format!(
-            "{there}, {}, incarnation {}, at {}, program {}, config {}, room {}",
+            "{state}, {}, incarnation {}, at {}, program {}, config {}, room {}",
             if self.ready.is_empty() { "no word yet" } else { &self.ready },
             self.incarnation,
             self.advertise,
-            short(&self.program),
-            short(&self.config),
+            short_digest(&self.program),
+            short_digest(&self.config),
             self.room,
         )
     }
 
-    fn is_there(&self) -> bool {
+    /// Whether the node counts as running; a suspected one does.
+    fn is_present(&self) -> bool {
         self.state == "alive" || self.state == "suspect"
     }
 }
 
-fn short(digest: &str) -> &str {
-    digest.get(..SHOWN).unwrap_or(digest)
+fn short_digest(digest: &str) -> &str {
+    digest.get(..SHORT_DIGEST_LEN).unwrap_or(digest)
 }
 
 impl Fleet {
@@ -122,12 +134,13 @@
             Fleet::Status { admin, json } => status(admin, json),
             Fleet::Compare { admins, json } => compare(&admins, json),
             Fleet::Keygen(keygen) => keygen.run(),
-            Fleet::Agree(agree) => agree.run(),
+            Fleet::Drains(command) => command.run(),
         }
     }
 }
 
-fn ask(admin: SocketAddr) -> Result<String, Failed> {
+/// Fetches a node's view as JSON.
+fn fetch_view_json(admin: SocketAddr) -> Result<String, Failed> {
     match call(admin, "GET", "/-/fleet")? {
         (200, body) => Ok(body),
         (404, _) => {
@@ -137,28 +150,30 @@
     }
 }
 
-/// One call to a node: status and body.
-pub(crate) fn call(admin: SocketAddr, method: &str, place: &str) -> Result<(u16, String), Failed> {
-    let about = |what: &dyn std::fmt::Display| Failed(format!("{admin}: {what}"));
-    let asked = || {
-        let mut stream = TcpStream::connect_timeout(&admin, WAIT)?;
-        stream.set_read_timeout(Some(WAIT))?;
-        stream.write_all(format!("{method} {place} HTTP/1.1\r\nHost: node\r\n\r\n").as_bytes())?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer)?;
-        std::io::Result::Ok(answer)
+/// Sends one HTTP request to a node and returns the status and body of its response.
+pub(crate) fn call(admin: SocketAddr, method: &str, path: &str) -> Result<(u16, String), Failed> {
+    let with_admin = |error: &dyn std::fmt::Display| Failed(format!("{admin}: {error}"));
+    let exchange = || {
+        let mut stream = TcpStream::connect_timeout(&admin, CALL_TIMEOUT)?;
+        stream.set_read_timeout(Some(CALL_TIMEOUT))?;
+        stream.write_all(format!("{method} {path} HTTP/1.1\r\nHost: node\r\n\r\n").as_bytes())?;
+        let mut response = String::new();
+        stream.read_to_string(&mut response)?;
+        std::io::Result::Ok(response)
     };
-    let answer = asked().map_err(|error| about(&error))?;
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or_else(|| about(&"not an HTTP answer"))?;
+    let response = exchange().map_err(|error| with_admin(&error))?;
+    let (head, body) = response.split_once("\r\n\r\n").ok_or_else(|| with_admin(&"not an HTTP response"))?;
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    Ok((status.ok_or_else(|| about(&"not an HTTP answer"))?, body.to_owned()))
+    Ok((status.ok_or_else(|| with_admin(&"not an HTTP response"))?, body.to_owned()))
 }
 
-fn view(admin: SocketAddr) -> Result<View, Failed> {
-    serde_json::from_str(&ask(admin)?).map_err(|error| Failed(format!("{admin}: not a view: {error}")))
+/// Fetches a node's view.
+fn fetch_view(admin: SocketAddr) -> Result<View, Failed> {
+    serde_json::from_str(&fetch_view_json(admin)?)
+        .map_err(|error| Failed(format!("{admin}: unexpected answer to /-/fleet: {error}")))
 }
 
-fn age(ms: Option<u64>) -> String {
+fn format_age(ms: Option<u64>) -> String {
     match ms {
         None => "never".into(),
         Some(ms) if ms < 10_000 => format!("{:.1} s", ms as f64 / 1_000.0),
@@ -169,47 +184,48 @@
 
 fn status(admin: SocketAddr, json: bool) -> Result<ExitCode, Failed> {
     if json {
-        print!("{}", ask(admin)?);
+        print!("{}", fetch_view_json(admin)?);
         return Ok(ExitCode::SUCCESS);
     }
-    let view = view(admin)?;
-    let there = view.members.iter().filter(|member| member.is_there()).count();
+    let view = fetch_view(admin)?;
+    let present = view.members.iter().filter(|member| member.is_present()).count();
     println!(
-        "{} (incarnation {}) holds {there} of {} nodes to be there; view {}{}",
+        "{} (incarnation {}) holds {present} of {} nodes to be there; view {}{}",
         view.node,
         view.incarnation,
         view.members.len(),
-        short(&view.digest),
+        short_digest(&view.digest),
         if view.settled { "" } else { ", changed in the last 3 s" },
     );
     if let Some(by) = view.superseded_by {
         println!("it has stepped back: a later process (incarnation {by}) has its name");
     }
-    if view.doubts > 0 {
-        println!("it doubts itself ({}): it stood still, or its probes fail", view.doubts);
+    if view.health_score > 0 {
+        println!("it doubts itself ({}): it stood still, or its probes fail", view.health_score);
     }
     let mut rows = vec![
         ["NODE", "STATE", "READY", "ZONE", "CLIENTS", "PROGRAM", "CONFIG", "ROOM", "HEARD"]
             .map(str::to_owned),
     ];
     for member in &view.members {
-        let own = member.name == view.node;
+        let is_self = member.name == view.node;
         rows.push([
             member.name.clone(),
             member.state.clone(),
             member.ready.clone(),
             member.zone.clone(),
             member.clients.clone(),
-            short(&member.program).to_owned(),
-            short(&member.config).to_owned(),
+            short_digest(&member.program).to_owned(),
+            short_digest(&member.config).to_owned(),
             member.room.to_string(),
-            if own { "itself".into() } else { age(member.heard_ms) },
+            if is_self { "itself".into() } else { format_age(member.heard_ms) },
         ]);
     }
     print!("{}", table(&rows));
     Ok(ExitCode::SUCCESS)
 }
 
+/// Formats rows as columns, padded with spaces to the widest cell.
 pub(crate) fn table<const N: usize>(rows: &[[String; N]]) -> String {
     let mut text = String::new();
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
@@ -222,62 +238,62 @@
     text
 }
 
-/// What differs: by name, by what is held of it, who holds that.
+/// For each node on which the views differ: its states, and for each state the nodes whose views have it.
 fn differences(views: &[View]) -> BTreeMap<String, BTreeMap<String, BTreeSet<String>>> {
     let names: BTreeSet<&str> =
         views.iter().flat_map(|view| view.members.iter().map(|member| member.name.as_str())).collect();
-    let mut found = BTreeMap::new();
+    let mut differing = BTreeMap::new();
     for name in names {
-        let mut held: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+        let mut holders: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for view in views {
             let member = view.members.iter().find(|member| member.name == name);
-            // Who is remembered as dead is no part of a view: one that came later never heard of it.
-            let holds = match member {
-                Some(member) if member.is_there() => member.held(),
+            // Dead nodes are not compared: a node that joined after another one died has never heard of it.
+            let state = match member {
+                Some(member) if member.is_present() => member.comparable_state(),
                 _ => "not there".to_owned(),
             };
-            held.entry(holds).or_default().insert(view.node.clone());
+            holders.entry(state).or_default().insert(view.node.clone());
         }
-        if held.len() > 1 {
-            found.insert(name.to_owned(), held);
+        if holders.len() > 1 {
+            differing.insert(name.to_owned(), holders);
         }
     }
-    found
+    differing
 }
 
 fn compare(admins: &[SocketAddr], json: bool) -> Result<ExitCode, Failed> {
     let mut views = Vec::new();
-    let mut missing = false;
+    let mut incomplete = false;
     for admin in admins {
-        match view(*admin) {
+        match fetch_view(*admin) {
             Ok(view) => views.push(view),
             Err(Failed(message)) => {
                 eprintln!("hopmoor-ops: {message}");
-                missing = true;
+                incomplete = true;
             }
         }
     }
-    let found = differences(&views);
+    let differing = differences(&views);
     if json {
-        println!("{}", serde_json::json!({"asked": views.len(), "differences": found}));
-    } else if found.is_empty() {
-        let digests: BTreeSet<&str> = views.iter().map(|view| short(&view.digest)).collect();
+        println!("{}", serde_json::json!({"asked": views.len(), "differences": differing}));
+    } else if differing.is_empty() {
+        let digests: BTreeSet<&str> = views.iter().map(|view| short_digest(&view.digest)).collect();
         println!(
             "{} views, no difference ({})",
             views.len(),
             digests.into_iter().collect::<Vec<_>>().join(", ")
         );
     } else {
-        for (name, held) in &found {
+        for (name, holders) in &differing {
             println!("{name}:");
-            for (what, by) in held {
-                println!("  {what}\n    by {}", by.iter().cloned().collect::<Vec<_>>().join(", "));
+            for (state, nodes) in holders {
+                println!("  {state}\n    by {}", nodes.iter().cloned().collect::<Vec<_>>().join(", "));
             }
         }
     }
-    Ok(match (found.is_empty(), missing) {
+    Ok(match (differing.is_empty(), incomplete) {
         (false, _) => ExitCode::FAILURE,
-        (true, true) => ExitCode::from(NOT_TOLD),
+        (true, true) => ExitCode::from(EXIT_INCOMPLETE),
         (true, false) => ExitCode::SUCCESS,
     })
 }
@@ -285,18 +301,19 @@
 impl Keygen {
     fn run(self) -> Result<ExitCode, Failed> {
         let keys = match &self.from {
-            None => fresh(1)?,
+            None => generate_key(1)?,
             Some(file) => {
-                let old = read(file)?;
-                let (newest, seals) = (old.newest(), old.seals_with());
+                let old = read_keys(file)?;
+                let (newest, sealing) = (old.newest(), old.seals_with());
                 if self.turn {
                     old.sealing_with(newest)
                 } else if self.drop_old {
-                    old.only(seals)
+                    old.only(sealing)
                 } else {
-                    let number =
-                        newest.checked_add(1).ok_or_else(|| Failed("no number is left for a key".into()))?;
-                    Keys::joined(&[old, fresh(number)?], seals)
+                    let number = newest.checked_add(1).ok_or_else(|| {
+                        Failed("the newest key has the highest possible number: no key can be added".into())
+                    })?;
+                    Keys::joined(&[old, generate_key(number)?], sealing)
                 }
                 .ok_or_else(|| Failed(format!("{}: no such key", file.display())))?
             }
@@ -306,16 +323,17 @@
     }
 }
 
-fn fresh(number: u32) -> Result<Keys, Failed> {
+/// Generates a file of one key with a random secret.
+fn generate_key(number: u32) -> Result<Keys, Failed> {
     let mut secret = [0; KEY_BYTES];
     getrandom::fill(&mut secret).map_err(|error| Failed(error.to_string()))?;
     Ok(Keys::new(number, secret))
 }
 
-fn read(file: &Path) -> Result<Keys, Failed> {
-    let about = |error: &dyn std::fmt::Display| Failed(format!("{}: {error}", file.display()));
-    let json = std::fs::read(file).map_err(|error| about(&error))?;
-    Keys::read(&json).map_err(|error| about(&error))
+fn read_keys(file: &Path) -> Result<Keys, Failed> {
+    let with_path = |error: &dyn std::fmt::Display| Failed(format!("{}: {error}", file.display()));
+    let json = std::fs::read(file).map_err(|error| with_path(&error))?;
+    Keys::read(&json).map_err(|error| with_path(&error))
 }
 
 #[cfg(test)]
--- a/crates/ops/src/fleet/tests.rs
+++ b/crates/ops/src/fleet/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn seen(node: &str, members: &str) -> View {
+fn view_of(node: &str, members: &str) -> View {
     let text = format!(
         r#"{{"node":"{node}","incarnation":1,"digest":"aa","settled":true,"doubts":0,"superseded_by":null,
             "members":[{members}]}}"#
@@ -16,15 +16,19 @@
 }
 
 #[test]
-fn views_differ_by_what_nodes_say_and_by_who_is_there_only() {
-    let a = seen("a", &[member("a", "alive", "serving"), member("b", "suspect", "serving")].join(","));
-    let b = seen("b", &[member("a", "alive", "serving"), member("b", "alive", "serving")].join(","));
+fn views_differ_only_by_states_of_nodes_and_by_which_are_present() {
+    let a = view_of("a", &[member("a", "alive", "serving"), member("b", "suspect", "serving")].join(","));
+    let b = view_of("b", &[member("a", "alive", "serving"), member("b", "alive", "serving")].join(","));
     assert!(differences(&[a.clone(), b]).is_empty(), "a suspicion is each node's own");
-    let drains = seen("b", &[member("a", "alive", "draining"), member("b", "alive", "serving")].join(","));
-    assert_eq!(differences(&[a.clone(), drains]).keys().collect::<Vec<_>>(), ["a"]);
-    let lost = seen("b", &[member("a", "alive", "serving"), member("b", "dead", "serving")].join(","));
+    let draining =
+        view_of("b", &[member("a", "alive", "draining"), member("b", "alive", "serving")].join(","));
+    assert_eq!(differences(&[a.clone(), draining]).keys().collect::<Vec<_>>(), ["a"]);
+    let lost = view_of("b", &[member("a", "alive", "serving"), member("b", "dead", "serving")].join(","));
     assert_eq!(differences(&[a.clone(), lost]).keys().collect::<Vec<_>>(), ["b"]);
     let with_dead =
         [member("a", "alive", "serving"), member("b", "alive", "serving"), member("c", "dead", "")];
-    assert!(differences(&[a, seen("b", &with_dead.join(","))]).is_empty(), "one came after c had died");
+    assert!(
+        differences(&[a, view_of("b", &with_dead.join(","))]).is_empty(),
+        "node b joined after c had died"
+    );
 }
--- a/crates/ops/src/main.rs
+++ b/crates/ops/src/main.rs
@@ -1,9 +1,9 @@
-//! The operators' program: what the nodes' records hold, as a check, a table, a report or a console; and what running
-//! nodes know of their fleet.
+//! `hopmoor-ops`, the operators' program: verifies, exports and analyses the records that nodes write, shows
+//! them in a console, and asks running nodes for their view of the fleet.
 
-mod agree;
 mod console;
 mod demo;
+mod drains;
 mod fleet;
 mod records;
 mod report;
@@ -52,7 +52,7 @@
     Export(records::Export),
 }
 
-/// What ends the program: one message, and nothing else.
+/// An error that ends the program, printed as one line on standard error.
 #[derive(Debug)]
 struct Failed(String);
 
@@ -68,8 +68,11 @@
     }
 }
 
-/// The folders named, each as one node's.
-fn listed(folders: &[PathBuf]) -> Result<Vec<Folder>, Failed> {
+/// Lists the segments of each folder; one folder holds the records of one node.
+///
+/// # Errors
+/// If a folder cannot be listed or has no records.
+fn list_folders(folders: &[PathBuf]) -> Result<Vec<Folder>, Failed> {
     folders
         .iter()
         .map(|path| {
@@ -82,12 +85,13 @@
         .collect()
 }
 
-fn merged(folders: &[PathBuf]) -> Result<Merged, Failed> {
-    Ok(Merged::new(listed(folders)?))
+/// Reads the records of all folders in the order of their times.
+fn merge_folders(folders: &[PathBuf]) -> Result<Merged, Failed> {
+    Ok(Merged::new(list_folders(folders)?))
 }
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Records(Records::Verify(verify)) => verify.run(),
         Command::Records(Records::Export(export)) => export.run(),
         Command::Report(report) => report.run(),
@@ -99,7 +103,7 @@
             Ok(ExitCode::SUCCESS)
         }
     };
-    match done {
+    match result {
         Ok(code) => code,
         Err(Failed(message)) => {
             eprintln!("hopmoor-ops: {message}");
--- a/crates/ops/src/records.rs
+++ b/crates/ops/src/records.rs
@@ -1,6 +1,6 @@
-//! `records verify` and `records export`.
+//! `records verify` and `records export`: checks records for damage, and writes them as JSON lines or CSV.
 
-use crate::{Failed, listed, merged};
+use crate::{Failed, list_folders, merge_folders};
 use hopmoor_page::time;
 use hopmoor_record::folder::Item;
 use hopmoor_record::merge::Step;
@@ -22,42 +22,45 @@
 
 impl Verify {
     pub fn run(self) -> Result<ExitCode, Failed> {
-        let mut bad = 0u64;
-        for folder in listed(&self.folders)? {
+        let mut damaged = 0u64;
+        for folder in list_folders(&self.folders)? {
             let (path, segments) = (folder.path.clone(), folder.segments.len());
             let bytes: u64 = folder.segments.iter().map(|segment| segment.bytes).sum();
             let newest = folder.segments.last().map(|segment| segment.path.clone());
-            let (mut records, mut runs, mut ended, mut lost) = (0u64, 0u64, true, 0u64);
+            let (mut records, mut runs, mut stopped, mut lost) = (0u64, 0u64, true, 0u64);
             let mut run = None;
-            let mut found = Vec::new();
+            let mut findings = Vec::new();
             for item in folder.read() {
                 match item {
                     Item::Segment(header) if run != Some(header.started) => {
-                        if run.is_some() && !ended {
-                            found.push(format!("run {runs} ends without a word: the node was killed"));
+                        if run.is_some() && !stopped {
+                            findings.push(format!("run {runs} ends without a word: the node was killed"));
                         }
-                        (run, ended) = (Some(header.started), false);
+                        (run, stopped) = (Some(header.started), false);
                         runs += 1;
                     }
                     Item::Segment(_) => {}
                     Item::Record(record) => {
                         records += 1;
                         match record.event {
-                            Event::Stopped(_) => ended = true,
+                            Event::Stopped(_) => stopped = true,
                             Event::Gap(gap) => lost += gap.lost,
                             _ => {}
                         }
                     }
                     Item::Damaged(path, damage) => {
-                        // A node that writes just now, or was killed, leaves the last record of the newest unfinished.
-                        let live = matches!(damage, Damage::Torn { .. }) && Some(&path) == newest.as_ref();
-                        bad += u64::from(!live);
+                        // The last record of the newest segment is incomplete while the node writes it, and
+                        // after the node was killed: that is not counted as damage.
+                        let unfinished =
+                            matches!(damage, Damage::Torn { .. }) && Some(&path) == newest.as_ref();
+                        damaged += u64::from(!unfinished);
                         let name = path.file_name().map_or_else(
                             || path.display().to_string(),
                             |name| name.to_string_lossy().into_owned(),
                         );
-                        let note = if live { " (still written to, or its node was killed)" } else { "" };
-                        found.push(format!("{name}: {damage}{note}"));
+                        let note =
+                            if unfinished { " (still written to, or its node was killed)" } else { "" };
+                        findings.push(format!("{name}: {damage}{note}"));
                     }
                 }
             }
@@ -68,9 +71,9 @@
             if lost > 0 {
                 println!("  {lost} records were lost while it ran, and are told as lost");
             }
-            found.iter().for_each(|what| println!("  {what}"));
+            findings.iter().for_each(|finding| println!("  {finding}"));
         }
-        Ok(if bad > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+        Ok(if damaged > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
     }
 }
 
@@ -102,15 +105,15 @@
     kind: Vec<String>,
 }
 
-/// What numbers in records are called.
+/// Names for the numbers that records hold in place of members, classes, tenants, zones and counters.
 #[derive(Default)]
-struct Names {
+struct NameTable {
     members: BTreeMap<MemberId, String>,
     headers: BTreeMap<Origin, Arc<Header>>,
 }
 
-impl Names {
-    /// A record's fields, with names beside the numbers.
+impl NameTable {
+    /// The fields of a record as JSON, with names in place of numbers.
     fn fields(&mut self, origin: Origin, event: &Event) -> Map<String, Value> {
         if let Event::Member(member) = event {
             self.members.insert(member.member, member.name.clone());
@@ -125,17 +128,21 @@
             fields.insert("member".into(), name.into());
         }
         let site = self.headers.get(&origin).map(|header| &header.site);
-        let named = |field: &str, names: Vec<&str>, fields: &mut Map<String, Value>| {
-            if let Some(place) = fields.get(field).and_then(Value::as_u64)
-                && let Some(name) = names.get(place as usize)
+        let replace_by_name = |field: &str, names: Vec<&str>, fields: &mut Map<String, Value>| {
+            if let Some(index) = fields.get(field).and_then(Value::as_u64)
+                && let Some(name) = names.get(index as usize)
             {
                 fields.insert(field.into(), (*name).into());
             }
         };
         if let Some(site) = site {
-            named("class", site.classes.iter().map(|class| class.name.as_str()).collect(), &mut fields);
-            named("tenant", site.tenants.iter().map(String::as_str).collect(), &mut fields);
-            named("zone", site.zones.iter().map(String::as_str).collect(), &mut fields);
+            replace_by_name(
+                "class",
+                site.classes.iter().map(|class| class.name.as_str()).collect(),
+                &mut fields,
+            );
+            replace_by_name("tenant", site.tenants.iter().map(String::as_str).collect(), &mut fields);
+            replace_by_name("zone", site.zones.iter().map(String::as_str).collect(), &mut fields);
         }
         if let (Event::Counters(counters), Some(header)) = (event, self.headers.get(&origin)) {
             let values =
@@ -146,7 +153,7 @@
     }
 }
 
-/// All fields that any kind of record has, for the columns of CSV.
+/// Columns of the CSV export: the fields of all kinds of records.
 const COLUMNS: &[&str] = &[
     "member",
     "name",
@@ -199,20 +206,20 @@
     pub fn run(self) -> Result<ExitCode, Failed> {
         let out = BufWriter::new(io::stdout().lock());
         match self.write(out) {
-            // Whoever reads it has seen enough.
+            // The reader has closed the pipe, as `head` does.
             Err(Failed(message)) if message.contains("Broken pipe") => Ok(ExitCode::SUCCESS),
             Err(failed) => Err(failed),
-            Ok(doubts) if doubts > 0 => Ok(ExitCode::FAILURE),
+            Ok(damaged) if damaged > 0 => Ok(ExitCode::FAILURE),
             Ok(_) => Ok(ExitCode::SUCCESS),
         }
     }
 
-    /// Writes the records, and returns how much was damaged or missing.
+    /// Writes the records and returns the number of places where records are damaged or missing.
     fn write(self, mut out: impl Write) -> Result<u64, Failed> {
         let (mut from, mut to) = (None, None);
-        let mut bounds = (self.from, self.to);
-        let mut names = Names::default();
-        let mut doubts = 0;
+        let mut bound_texts = (self.from, self.to);
+        let mut names = NameTable::default();
+        let mut damaged = 0;
         let mut table = match self.format {
             Format::Csv => {
                 let mut table = csv::Writer::from_writer(Vec::new());
@@ -221,13 +228,15 @@
             }
             Format::Jsonl => None,
         };
-        for (origin, at, step) in merged(&self.folders)? {
+        for (origin, at, step) in merge_folders(&self.folders)? {
             match step {
                 Step::Run(header) => {
-                    // A clock time alone is on the day of the first record.
-                    for (text, bound) in [(bounds.0.take(), &mut from), (bounds.1.take(), &mut to)] {
+                    // A time without a date is on the day of the first record, so it is parsed when that is
+                    // known.
+                    for (text, bound) in [(bound_texts.0.take(), &mut from), (bound_texts.1.take(), &mut to)]
+                    {
                         if let Some(text) = text {
-                            *bound = Some(time::read(&text, at)?);
+                            *bound = Some(time::parse(&text, at)?);
                         }
                     }
                     names.headers.insert(origin, header);
@@ -243,7 +252,7 @@
                     match &mut table {
                         None => {
                             let mut line = Map::new();
-                            line.insert("at".into(), time::stamp(at).into());
+                            line.insert("at".into(), time::rfc3339(at).into());
                             line.insert("node".into(), node.into());
                             line.insert("kind".into(), kind.into());
                             line.extend(fields);
@@ -256,7 +265,7 @@
                                 Some(Value::String(text)) => text.clone(),
                                 Some(value) => value.to_string(),
                             };
-                            let head = [time::stamp(at), node.to_owned(), kind.to_owned()];
+                            let head = [time::rfc3339(at), node.to_owned(), kind.to_owned()];
                             let row = head.into_iter().chain(COLUMNS.iter().map(cell));
                             table.write_record(row).map_err(io::Error::from)?;
                             if table.get_ref().len() > 64 * 1024 {
@@ -266,13 +275,13 @@
                     }
                 }
                 Step::Damaged(path, damage) => {
-                    doubts += 1;
+                    damaged += 1;
                     eprintln!("hopmoor-ops: {}: {damage}", path.display());
                 }
-                Step::Shifted(by) => {
+                Step::Shifted(shift_ms) => {
                     eprintln!(
                         "hopmoor-ops: clock set back; what follows is shown {:.1} s later",
-                        by / 1_000.0
+                        shift_ms / 1_000.0
                     );
                 }
                 Step::Over | Step::End => {}
@@ -282,10 +291,11 @@
             flush(table, &mut out)?;
         }
         out.flush()?;
-        Ok(doubts)
+        Ok(damaged)
     }
 }
 
+/// Moves the rows formatted so far to the output.
 fn flush(table: &mut csv::Writer<Vec<u8>>, out: &mut impl Write) -> io::Result<()> {
     table.flush()?;
     let mut next = csv::Writer::from_writer(Vec::new());
--- a/crates/ops/src/report.rs
+++ b/crates/ops/src/report.rs
@@ -1,19 +1,22 @@
-//! `report`: the findings as one page, or as JSON.
+//! `report`: the incidents found in the records, as one HTML page or as JSON.
 
-use crate::{Failed, merged};
+use crate::{Failed, merge_folders};
 use hopmoor_incident::{Account, Findings, Incident, IncidentKind, Member, RunEnd, State, analyse};
-use hopmoor_page::plot::{Axis, LEFT, RIGHT, WIDTH, area, path, round_up, short};
-use hopmoor_page::{number, page, percent, tile, time};
+use hopmoor_page::plot::{
+    LEFT_MARGIN, PLOT_WIDTH, RIGHT_MARGIN, TimeAxis, area_path, compact, curve_path, round_up,
+};
+use hopmoor_page::{format_number, format_percent, page, tile, time};
 use maud::{Markup, html};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Lanes that are drawn, at most; members with a trouble come first.
-const MOST_LANES: usize = 120;
-const LANE: f64 = 20.0;
-/// Tenants that are drawn.
-const MOST_TENANTS: usize = 24;
+/// Maximum number of members in the timeline; members with a fault are kept first.
+const MAX_MEMBER_LANES: usize = 120;
+/// Height of a lane of the timeline with the space below it, in units of the plot.
+const LANE_HEIGHT: f64 = 20.0;
+/// Maximum number of tenants whose budgets are plotted.
+const MAX_TENANT_PLOTS: usize = 24;
 
 /// Arguments of `report`.
 #[derive(clap::Args)]
@@ -31,25 +34,26 @@
 
 impl Report {
     pub fn run(self) -> Result<ExitCode, Failed> {
-        let findings = analyse(merged(&self.folders)?);
+        let findings = analyse(merge_folders(&self.folders)?);
         let text = if self.json {
             serde_json::to_string_pretty(&findings).map_err(|error| Failed(error.to_string()))? + "\n"
         } else {
-            written(&findings)
+            render_page(&findings)
         };
         match &self.output {
             None => std::io::stdout().write_all(text.as_bytes())?,
             Some(path) => {
-                // A page that is there already stays whole until the new one is.
-                let begun = path.with_extension("begun");
-                let about = |error| Failed(format!("{}: {error}", path.display()));
-                std::fs::write(&begun, text).map_err(about)?;
-                std::fs::rename(&begun, path).map_err(about)?;
+                // The page is written to a temporary file and renamed, so that an existing page is replaced
+                // only by a complete one.
+                let temporary = path.with_extension("begun");
+                let with_path = |error| Failed(format!("{}: {error}", path.display()));
+                std::fs::write(&temporary, text).map_err(with_path)?;
+                std::fs::rename(&temporary, path).map_err(with_path)?;
                 let service = findings.service;
                 println!(
                     "{}: {} of the service lost, {} incidents, {} records",
                     path.display(),
-                    percent(service.share_lost),
+                    format_percent(service.share_lost),
                     findings.incidents.len(),
                     findings.records
                 );
@@ -59,41 +63,44 @@
     }
 }
 
-/// The page.
-pub fn written(findings: &Findings) -> String {
+/// Renders the findings as a self-contained HTML page.
+pub fn render_page(findings: &Findings) -> String {
     let names: Vec<&str> = findings.nodes.iter().map(|node| node.name.as_str()).collect();
     let title = format!("Incident report: {}", names.join(", "));
-    let axis = Axis { from: findings.from, until: findings.until };
-    let drawn = drawn(&findings.members);
+    let axis = TimeAxis { from: findings.from, until: findings.until };
+    let drawn_members = members_to_draw(&findings.members);
     let body = html! {
         h1 { "Incident report" }
         p.soft {
             (time::date_clock(findings.from)) " to " (time::clock(findings.until)) " UTC ("
-            (time::span(findings.until - findings.from)) "), from the records of " (names.join(", "))
+            (time::duration(findings.until - findings.from)) "), from the records of " (names.join(", "))
         }
-        (tiles(findings))
-        (story(findings))
+        (summary_tiles(findings))
+        (summary(findings))
         h2 { "Timeline" }
-        (key())
-        div.wide { (timeline(findings, &axis, &drawn)) }
-        @if drawn.len() < findings.members.len() {
-            p.soft { (findings.members.len() - drawn.len()) " members without a trouble are not drawn." }
+        (legend())
+        div.wide { (timeline(findings, &axis, &drawn_members)) }
+        @if drawn_members.len() < findings.members.len() {
+            p.soft {
+                (findings.members.len() - drawn_members.len())
+                " members without a trouble are not drawn."
+            }
         }
         h2 { "Service asked for, served and lost" }
         div.key {
             (swatch("servedarea", "served in time")) (swatch("lostarea", "lost"))
             span { "worth a second; the line is what was asked for" }
         }
-        div.wide { (service(findings, &axis)) }
+        div.wide { (service_plot(findings, &axis)) }
         h2 { "Incidents" }
-        (incidents(&findings.incidents))
+        (incidents_table(&findings.incidents))
         h2 { "Classes" }
-        (accounts("Class", &findings.classes))
+        (totals_table("Class", &findings.classes))
         h2 { "Tenants" }
-        (accounts("Tenant", &findings.tenants))
-        (budgets(findings, &axis))
+        (totals_table("Tenant", &findings.tenants))
+        (budget_plots(findings, &axis))
         h2 { "Nodes" }
-        (nodes(findings))
+        (nodes_table(findings))
         @if !findings.doubts.is_empty() {
             h2 { "What the records do not tell" }
             ul {
@@ -111,45 +118,48 @@
     page(&title, &body)
 }
 
-fn tiles(findings: &Findings) -> Markup {
-    let sum = |of: fn(&Account) -> u64| findings.classes.iter().map(of).sum::<u64>();
-    let away = sum(|class| class.rejected + class.failed);
+fn summary_tiles(findings: &Findings) -> Markup {
+    let sum = |count: fn(&Account) -> u64| findings.classes.iter().map(count).sum::<u64>();
+    let rejected_or_failed = sum(|class| class.rejected + class.failed);
     let all = sum(|class| class.transactions);
     let (broken, moved) = (sum(|class| class.broken), sum(|class| class.moved));
     let service = findings.service;
-    let serious =
+    let is_member_fault =
         |incident: &&Incident| matches!(incident.kind, IncidentKind::Member(state) if state.is_trouble());
-    let troubles = findings.incidents.iter().filter(serious).count();
-    let part = |part: u64| if all > 0 { percent(part as f64 / all as f64) } else { "0%".into() };
+    let member_faults = findings.incidents.iter().filter(is_member_fault).count();
+    let share_of_all =
+        |count: u64| if all > 0 { format_percent(count as f64 / all as f64) } else { "0%".into() };
     html! {
         div.tiles {
-            (tile("Service lost", &percent(service.share_lost), &format!("{} of it not explained",
-                percent(if service.share_lost > 0.0 { service.unexplained / service.share_lost } else { 0.0 })),
+            (tile("Service lost", &format_percent(service.share_lost), &format!("{} of it not explained",
+                format_percent(if service.share_lost > 0.0 { service.unexplained / service.share_lost } else { 0.0 })),
                 service.share_lost > 0.01))
-            (tile("Transactions", &number(all as f64), "asked of the nodes", false))
-            (tile("Turned away", &number(away as f64), &part(away), away > 0))
-            (tile("Broken off", &number(broken as f64), "connections that stood", broken > 0))
-            (tile("Moved", &number(moved as f64), "clients asked to come again", false))
-            (tile("Troubles", &number(troubles as f64), "of members", troubles > 0))
+            (tile("Transactions", &format_number(all as f64), "asked of the nodes", false))
+            (tile("Turned away", &format_number(rejected_or_failed as f64), &share_of_all(rejected_or_failed),
+                rejected_or_failed > 0))
+            (tile("Broken off", &format_number(broken as f64), "connections that stood", broken > 0))
+            (tile("Moved", &format_number(moved as f64), "clients asked to come again", false))
+            (tile("Troubles", &format_number(member_faults as f64), "of members", member_faults > 0))
         }
     }
 }
 
-/// In words: what cost most, and whom.
-fn story(findings: &Findings) -> Markup {
+/// A summary in words: the costliest incidents, the class and the tenant that lost most, and nodes whose
+/// records end early.
+fn summary(findings: &Findings) -> Markup {
     let mut costly: Vec<&Incident> =
         findings.incidents.iter().filter(|incident| incident.share > 0.000_5).collect();
     costly.sort_by(|a, b| b.lost.total_cmp(&a.lost));
-    let hit = |rows: &[Account]| {
+    let hardest_hit = |rows: &[Account]| {
         let rows = rows.iter().filter(|row| row.asked > 0.0);
         rows.max_by(|a, b| (a.lost / a.asked).total_cmp(&(b.lost / b.asked)))
             .map(|row| (row.name.clone(), row.lost / row.asked))
     };
-    let cut = findings
+    let nodes_cut_off = findings
         .nodes
         .iter()
         .filter(|node| node.runs.last().is_some_and(|run| run.end == RunEnd::RecordsEnd));
-    let cut: Vec<&str> = cut.map(|node| node.name.as_str()).collect();
+    let nodes_cut_off: Vec<&str> = nodes_cut_off.map(|node| node.name.as_str()).collect();
     html! {
         @if costly.is_empty() {
             p { "Nothing that went wrong cost as much as 0.05% of the service." }
@@ -158,30 +168,35 @@
             ul {
                 @for incident in costly.iter().take(5) {
                     li {
-                        b { (percent(incident.share)) } " "
+                        b { (format_percent(incident.share)) } " "
                         a href=(format!("#i-{}", incident.number)) { (incident.cause) }
                         ", from " (time::clock(incident.from))
                     }
                 }
             }
         }
-        @if let (Some((class, part)), Some((tenant, of_tenant))) = (hit(&findings.classes), hit(&findings.tenants)) {
+        @if let (Some((class, class_share)), Some((tenant, tenant_share))) =
+            (hardest_hit(&findings.classes), hardest_hit(&findings.tenants))
+        {
             p {
-                "Hardest hit: class " b { (class) } ", which lost " (percent(part)) " of what it asked for, and tenant "
-                b { (tenant) } ", which lost " (percent(of_tenant)) "."
+                "Hardest hit: class " b { (class) } ", which lost " (format_percent(class_share))
+                " of what it asked for, and tenant "
+                b { (tenant) } ", which lost " (format_percent(tenant_share)) "."
             }
         }
-        @if !cut.is_empty() {
-            p { b { "Records end here" } " without a word of " (cut.join(", ")) ": what came after is not known." }
+        @if !nodes_cut_off.is_empty() {
+            p { b { "Records end here" } " without a word of " (nodes_cut_off.join(", ")) ": what came after is not known." }
         }
     }
 }
 
+/// An entry of a legend: a square of the colour of a CSS class, and its name.
 fn swatch(class: &str, name: &str) -> Markup {
     html! { span { svg viewBox="0 0 10 10" aria-hidden="true" { rect class=(class) width="10" height="10" rx="2" {} } (name) } }
 }
 
-fn key() -> Markup {
+/// The legend of the timeline.
+fn legend() -> Markup {
     let states =
         [State::Silent, State::Dead, State::Refusing, State::Slow, State::Draining, State::Gone, State::Cold];
     html! {
@@ -193,20 +208,22 @@
     }
 }
 
-fn drawn(members: &[Member]) -> Vec<&Member> {
-    let troubled = |member: &&Member| member.spans.iter().any(|span| span.state.is_trouble());
-    let changed = |member: &&Member| !member.spans.is_empty() && !troubled(member);
-    let still = |member: &&Member| member.spans.is_empty();
-    let mut all: Vec<&Member> = members.iter().filter(troubled).collect();
-    all.extend(members.iter().filter(changed));
-    all.extend(members.iter().filter(still));
-    all.truncate(MOST_LANES);
+/// The members that the timeline shows, in the order of their names. If there are too many, members with a
+/// fault take precedence over members with other changes of state, and those over the rest.
+fn members_to_draw(members: &[Member]) -> Vec<&Member> {
+    let has_fault = |member: &&Member| member.spans.iter().any(|span| span.state.is_trouble());
+    let changed_only = |member: &&Member| !member.spans.is_empty() && !has_fault(member);
+    let unchanged = |member: &&Member| member.spans.is_empty();
+    let mut all: Vec<&Member> = members.iter().filter(has_fault).collect();
+    all.extend(members.iter().filter(changed_only));
+    all.extend(members.iter().filter(unchanged));
+    all.truncate(MAX_MEMBER_LANES);
     all.sort_by(|a, b| hopmoor_incident::analysis::in_order(&a.name, &b.name));
     all
 }
 
-/// A name that fits beside its lane.
-fn fitting(name: &str) -> String {
+/// A name cut to the 18 characters that fit into the left margin.
+fn truncated_name(name: &str) -> String {
     if name.chars().count() <= 18 {
         name.to_owned()
     } else {
@@ -214,105 +231,117 @@
     }
 }
 
-fn timeline(findings: &Findings, axis: &Axis, members: &[&Member]) -> Markup {
+/// The timeline: a lane for each node and member, and the transactions turned away below them.
+fn timeline(findings: &Findings, axis: &TimeAxis, members: &[&Member]) -> Markup {
     let nodes = findings.nodes.len();
-    let away = 54.0;
-    let lanes = (nodes + members.len()) as f64 * LANE;
-    let height = lanes + away + 34.0;
-    let y = |lane: usize| lane as f64 * LANE + 2.0;
+    let bars_height = 54.0;
+    let lanes = (nodes + members.len()) as f64 * LANE_HEIGHT;
+    let height = lanes + bars_height + 34.0;
+    let y = |lane: usize| lane as f64 * LANE_HEIGHT + 2.0;
     let lane_box = |lane: usize| {
         html! {
-            rect.lane x=(short(LEFT)) y=(short(y(lane))) width=(short(WIDTH - LEFT - RIGHT)) height=(short(LANE - 4.0)) {}
+            rect.lane x=(compact(LEFT_MARGIN)) y=(compact(y(lane)))
+                width=(compact(PLOT_WIDTH - LEFT_MARGIN - RIGHT_MARGIN))
+                height=(compact(LANE_HEIGHT - 4.0)) {}
         }
     };
     html! {
-        svg viewBox=(format!("0 0 {WIDTH} {}", short(height))) role="img" aria-label="Timeline of nodes and members" {
+        svg viewBox=(format!("0 0 {PLOT_WIDTH} {}", compact(height))) role="img"
+            aria-label="Timeline of nodes and members" {
             (axis.grid(height))
             @for (lane, node) in findings.nodes.iter().enumerate() {
-                text x="4" y=(short(y(lane) + 12.0)) { (fitting(&node.name)) }
+                text x="4" y=(compact(y(lane) + 12.0)) { (truncated_name(&node.name)) }
                 (lane_box(lane))
                 @for run in &node.runs {
-                    (bar("run", axis, run.from, run.until, y(lane) + 3.0, LANE - 10.0, None,
+                    (span_bar("run", axis, run.from, run.until, y(lane) + 3.0, LANE_HEIGHT - 10.0, None,
                         &format!("{} ran from {} to {}", node.name, time::clock(run.from), time::clock(run.until))))
                     @if let Some(leaving) = run.leaving {
-                        (bar("leaving", axis, leaving, run.until, y(lane) + 3.0, LANE - 10.0, None,
+                        (span_bar("leaving", axis, leaving, run.until, y(lane) + 3.0, LANE_HEIGHT - 10.0, None,
                             &format!("{} was leaving from {}", node.name, time::clock(leaving))))
                     }
                     @if run.end != RunEnd::Stopped {
-                        (bar("cut", axis, run.until, run.until, y(lane), LANE - 4.0, None,
+                        (span_bar("cut", axis, run.until, run.until, y(lane), LANE_HEIGHT - 4.0, None,
                             &format!("records of {} end here, {}", node.name, time::clock(run.until))))
                     }
                 }
                 @for gap in &node.gaps {
-                    (bar("gap", axis, gap.from, gap.until, y(lane) + 3.0, LANE - 10.0, None,
+                    (span_bar("gap", axis, gap.from, gap.until, y(lane) + 3.0, LANE_HEIGHT - 10.0, None,
                         &format!("{} records of {} lost", gap.lost, node.name)))
                 }
             }
             @for (at, member) in members.iter().enumerate() {
                 (member_lane(findings, axis, member, y(nodes + at), &lane_box(nodes + at)))
             }
-            (turned_away(findings, axis, lanes + 4.0, away))
+            (turned_away_bars(findings, axis, lanes + 4.0, bars_height))
         }
     }
 }
 
-fn member_lane(findings: &Findings, axis: &Axis, member: &Member, y: f64, lane: &Markup) -> Markup {
-    // The wider states lie under the narrower ones.
+/// One member's lane of the timeline, with its spans of states.
+fn member_lane(findings: &Findings, axis: &TimeAxis, member: &Member, y: f64, lane: &Markup) -> Markup {
+    // Drawn in this order, so that bars of narrower states lie on top of wider ones.
     let order =
         [State::Gone, State::Cold, State::Draining, State::Slow, State::Refusing, State::Silent, State::Dead];
     html! {
         g id=(format!("m-{}", member.name)) {
-            text x="4" y=(short(y + 12.0)) { title { (member.name) } (fitting(&member.name)) }
+            text x="4" y=(compact(y + 12.0)) { title { (member.name) } (truncated_name(&member.name)) }
             (lane)
             @for state in order {
                 @for span in member.spans.iter().filter(|span| span.state == state) {
                     @let until = span.until.unwrap_or(findings.until);
                     @let inset = match state { State::Draining => 3.0, State::Silent | State::Dead | State::Refusing => 5.0, _ => 0.0 };
-                    @let row = findings.incidents.iter().find(|incident| {
+                    @let incident = findings.incidents.iter().find(|incident| {
                         incident.kind == IncidentKind::Member(state) && incident.subject == member.name && incident.from == span.from
                     });
-                    (bar(state.word(), axis, span.from, until, y + inset, LANE - 4.0 - 2.0 * inset, row,
-                        &format!("{}: {} from {} for {}", member.name, state.word(), time::clock(span.from), time::span(until - span.from))))
+                    (span_bar(state.word(), axis, span.from, until, y + inset, LANE_HEIGHT - 4.0 - 2.0 * inset,
+                        incident,
+                        &format!("{}: {} from {} for {}", member.name, state.word(), time::clock(span.from),
+                            time::duration(until - span.from))))
                 }
             }
             @for span in member.spans.iter().filter(|span| span.state == State::Avoided) {
-                (bar("avoided", axis, span.from, span.until.unwrap_or(findings.until), y + LANE - 6.0, 2.0, None,
+                (span_bar("avoided", axis, span.from, span.until.unwrap_or(findings.until), y + LANE_HEIGHT - 6.0,
+                    2.0, None,
                     &format!("{} avoided from {}", member.name, time::clock(span.from))))
             }
         }
     }
 }
 
+/// A bar from one time to another, at least 3 units wide, linked to the row of its incident if there is one.
 #[allow(clippy::too_many_arguments)]
-fn bar(
+fn span_bar(
     class: &str,
-    axis: &Axis,
+    axis: &TimeAxis,
     from: f64,
     until: f64,
     y: f64,
     height: f64,
-    row: Option<&Incident>,
+    incident: Option<&Incident>,
     title: &str,
 ) -> Markup {
     let (left, right) = (axis.x(from), axis.x(until));
     let rect = html! {
-        rect class=(class) x=(short(left)) y=(short(y)) width=(short((right - left).max(3.0))) height=(short(height)) rx="2" {
+        rect class=(class) x=(compact(left)) y=(compact(y)) width=(compact((right - left).max(3.0)))
+            height=(compact(height)) rx="2" {
             title { (title) }
         }
     };
     html! {
-        @match row {
-            Some(row) => { a href=(format!("#i-{}", row.number)) { (rect) } }
+        @match incident {
+            Some(incident) => { a href=(format!("#i-{}", incident.number)) { (rect) } }
             None => (rect)
         }
     }
 }
 
-/// Transactions rejected or failed, by class, stacked.
-fn turned_away(findings: &Findings, axis: &Axis, top: f64, height: f64) -> Markup {
+/// Transactions rejected or failed over time, as bars stacked by class.
+fn turned_away_bars(findings: &Findings, axis: &TimeAxis, top: f64, height: f64) -> Markup {
     let curves = &findings.curves;
     let steps = curves.arrivals.len();
+    // At most 300 bars: each covers a group of steps.
     let group = steps.div_ceil(300).max(1);
+    // Sums by class for each bar.
     let sums: Vec<Vec<f64>> = (0..steps.div_ceil(group))
         .map(|at| {
             let part =
@@ -320,72 +349,81 @@
             curves.turned_away.iter().map(part).collect()
         })
         .collect();
-    let most = sums.iter().map(|parts| parts.iter().sum::<f64>()).fold(0.0, f64::max);
-    let scale = round_up(most);
+    let max_sum = sums.iter().map(|parts| parts.iter().sum::<f64>()).fold(0.0, f64::max);
+    let scale = round_up(max_sum);
     let base = top + height - 6.0;
-    let unit = (height - 14.0) / scale;
+    let units_per_transaction = (height - 14.0) / scale;
     html! {
-        text x="4" y=(short(top + 14.0)) { "turned away" }
-        text.soft x="4" y=(short(top + 28.0)) { "up to " (short(scale)) " in " (time::span(group as f64 * curves.step_ms)) }
-        line.grid x1=(short(LEFT)) x2=(short(WIDTH - RIGHT)) y1=(short(base)) y2=(short(base)) {}
+        text x="4" y=(compact(top + 14.0)) { "turned away" }
+        text.soft x="4" y=(compact(top + 28.0)) {
+            "up to " (compact(scale)) " in " (time::duration(group as f64 * curves.step_ms))
+        }
+        line.grid x1=(compact(LEFT_MARGIN)) x2=(compact(PLOT_WIDTH - RIGHT_MARGIN))
+            y1=(compact(base)) y2=(compact(base)) {}
         @for (at, parts) in sums.iter().enumerate().filter(|(_, parts)| parts.iter().any(|part| *part > 0.0)) {
             @let from = findings.from + (at * group) as f64 * curves.step_ms;
             @let (left, right) = (axis.x(from), axis.x(from + group as f64 * curves.step_ms));
             @for (class, part) in parts.iter().enumerate().filter(|(_, part)| **part > 0.0) {
                 @let below: f64 = parts[..class].iter().sum();
-                rect class=(format!("k{}", class % 8)) x=(short(left)) y=(short(base - (below + part) * unit))
-                    width=(short((right - left).max(1.0))) height=(short((part * unit).max(0.5))) {
-                    title { (findings.classes.get(class).map_or("", |class| class.name.as_str())) ": " (short(*part)) " at " (time::clock(from)) }
+                rect class=(format!("k{}", class % 8)) x=(compact(left))
+                    y=(compact(base - (below + part) * units_per_transaction))
+                    width=(compact((right - left).max(1.0)))
+                    height=(compact((part * units_per_transaction).max(0.5))) {
+                    title { (findings.classes.get(class).map_or("", |class| class.name.as_str())) ": " (compact(*part)) " at " (time::clock(from)) }
                 }
             }
         }
     }
 }
 
-fn service(findings: &Findings, axis: &Axis) -> Markup {
+/// Service asked for and served over time.
+fn service_plot(findings: &Findings, axis: &TimeAxis) -> Markup {
     let (curves, height) = (&findings.curves, 190.0);
-    let top = curves.asked.iter().fold(0.0f32, |most, value| most.max(*value));
-    let scale = round_up(f64::from(top));
+    let peak = curves.asked.iter().fold(0.0f32, |peak, value| peak.max(*value));
+    let scale = round_up(f64::from(peak));
     let base = height - 22.0;
     let y = |value: f64| base - (value / scale).clamp(0.0, 1.0) * (base - 8.0);
     html! {
-        svg viewBox=(format!("0 0 {WIDTH} {height}")) role="img" aria-label="Service asked for, served and lost" {
+        svg viewBox=(format!("0 0 {PLOT_WIDTH} {height}")) role="img" aria-label="Service asked for, served and lost" {
             (axis.grid(height))
             @for part in [0.0, 0.5, 1.0] {
-                text.tick x=(short(LEFT - 6.0)) y=(short(y(scale * part) + 4.0)) text-anchor="end" { (short(scale * part)) }
-                line.grid x1=(short(LEFT)) x2=(short(WIDTH - RIGHT)) y1=(short(y(scale * part))) y2=(short(y(scale * part))) {}
+                text.tick x=(compact(LEFT_MARGIN - 6.0)) y=(compact(y(scale * part) + 4.0)) text-anchor="end" {
+                    (compact(scale * part))
+                }
+                line.grid x1=(compact(LEFT_MARGIN)) x2=(compact(PLOT_WIDTH - RIGHT_MARGIN))
+            y1=(compact(y(scale * part))) y2=(compact(y(scale * part))) {}
             }
-            path.lostarea d=(area(&curves.asked, axis, curves.step_ms, base, y)) {}
-            path style="fill:var(--panel)" d=(area(&curves.served, axis, curves.step_ms, base, y)) {}
-            path.servedarea d=(area(&curves.served, axis, curves.step_ms, base, y)) {}
-            path.askedline d=(path(&curves.asked, axis, curves.step_ms, y)) {}
-            path.servedline d=(path(&curves.served, axis, curves.step_ms, y)) {}
+            path.lostarea d=(area_path(&curves.asked, axis, curves.step_ms, base, y)) {}
+            path style="fill:var(--panel)" d=(area_path(&curves.served, axis, curves.step_ms, base, y)) {}
+            path.servedarea d=(area_path(&curves.served, axis, curves.step_ms, base, y)) {}
+            path.askedline d=(curve_path(&curves.asked, axis, curves.step_ms, y)) {}
+            path.servedline d=(curve_path(&curves.served, axis, curves.step_ms, y)) {}
         }
     }
 }
 
-fn incidents(all: &[Incident]) -> Markup {
+fn incidents_table(incidents: &[Incident]) -> Markup {
     html! {
-        @if all.is_empty() {
+        @if incidents.is_empty() {
             p { "None." }
         } @else {
             div.wide { table {
                 thead { tr { th.n { "#" } th { "From" } th.n { "Lasted" } th { "What" } th { "Seen" } th.n { "Service lost" } } }
                 tbody {
-                    @for incident in all {
+                    @for incident in incidents {
                         tr id=(format!("i-{}", incident.number)) {
                             td.n { (incident.number) }
                             td.t { (time::clock(incident.from)) }
-                            td.n { @match incident.until { Some(until) => (time::span(until - incident.from)), None => "no end seen" } }
+                            td.n { @match incident.until { Some(until) => (time::duration(until - incident.from)), None => "no end seen" } }
                             td.t { span.tag {
-                                svg viewBox="0 0 10 10" aria-hidden="true" { rect class=(colour(incident.kind)) width="10" height="10" rx="2" {} }
+                                svg viewBox="0 0 10 10" aria-hidden="true" { rect class=(colour_class(incident.kind)) width="10" height="10" rx="2" {} }
                                 @match incident.kind {
                                     IncidentKind::Member(_) => { a href=(format!("#m-{}", incident.subject)) { (incident.kind.word()) } }
                                     _ => (incident.kind.word())
                                 }
                             } }
                             td.w { (incident.cause) }
-                            td.n { (percent(incident.share)) }
+                            td.n { (format_percent(incident.share)) }
                         }
                     }
                 }
@@ -394,7 +432,8 @@
     }
 }
 
-fn colour(kind: IncidentKind) -> &'static str {
+/// CSS class of the colour that an incident has in the timeline.
+fn colour_class(kind: IncidentKind) -> &'static str {
     match kind {
         IncidentKind::Member(state) => state.word(),
         IncidentKind::NodeLeft => "leaving",
@@ -406,21 +445,23 @@
     }
 }
 
-fn accounts(what: &str, rows: &[Account]) -> Markup {
+/// What classes or tenants asked for and got; `heading` is the first column's.
+fn totals_table(heading: &str, rows: &[Account]) -> Markup {
     html! {
         div.wide { table {
             thead { tr {
-                th { (what) } th.n { "Asked" } th.n { "Served" } th.n { "Rejected" } th.n { "Failed" } th.n { "Broken" }
+                th { (heading) } th.n { "Asked" } th.n { "Served" } th.n { "Rejected" } th.n { "Failed" } th.n { "Broken" }
                 th.n { "Moved" } th.n { "Mean wait" } th.n { "Service lost" }
             } }
             tbody {
                 @for row in rows.iter().take(1_000) {
                     tr {
-                        td { (row.name) } td.n { (number(row.transactions as f64)) } td.n { (number(row.served as f64)) }
-                        td.n { (number(row.rejected as f64)) } td.n { (number(row.failed as f64)) }
-                        td.n { (number(row.broken as f64)) } td.n { (number(row.moved as f64)) }
-                        td.n { (time::span(row.wait_ms)) }
-                        td.n { (percent(if row.asked > 0.0 { row.lost / row.asked } else { 0.0 })) }
+                        td { (row.name) }
+                        td.n { (format_number(row.transactions as f64)) } td.n { (format_number(row.served as f64)) }
+                        td.n { (format_number(row.rejected as f64)) } td.n { (format_number(row.failed as f64)) }
+                        td.n { (format_number(row.broken as f64)) } td.n { (format_number(row.moved as f64)) }
+                        td.n { (time::duration(row.wait_ms)) }
+                        td.n { (format_percent(if row.asked > 0.0 { row.lost / row.asked } else { 0.0 })) }
                     }
                 }
             }
@@ -428,7 +469,7 @@
     }
 }
 
-fn budgets(findings: &Findings, axis: &Axis) -> Markup {
+fn budget_plots(findings: &Findings, axis: &TimeAxis) -> Markup {
     let height = 110.0;
     let (step, base) = (findings.curves.step_ms, height - 22.0);
     html! {
@@ -439,31 +480,32 @@
                 (swatch("slow", "waiting"))
             }
         }
-        @for tenant in findings.budgets.iter().take(MOST_TENANTS) {
-            @let most = tenant.open.iter().chain(&tenant.queued).fold(1.0f32, |most, value| most.max(*value));
-            // A budget far over what is used would press the rest flat.
-            @let scale = round_up(f64::from(most) * 1.6);
+        @for tenant in findings.budgets.iter().take(MAX_TENANT_PLOTS) {
+            @let peak = tenant.open.iter().chain(&tenant.queued).fold(1.0f32, |peak, value| peak.max(*value));
+            // The scale follows use and not the budget: one far above use would flatten the other curves.
+            @let scale = round_up(f64::from(peak) * 1.6);
             @let y = |value: f64| base - (value / scale).clamp(0.0, 1.0) * (base - 8.0);
             div.wide {
-                svg viewBox=(format!("0 0 {WIDTH} {height}")) role="img" aria-label=(format!("Budget and use of {}", tenant.name)) {
-                    text x="4" y="16" { title { (tenant.name) } (fitting(&tenant.name)) }
-                    text.tick x=(short(LEFT - 6.0)) y="12" text-anchor="end" {}
-                    text.soft x="4" y="32" { "0 to " (short(scale)) }
+                svg viewBox=(format!("0 0 {PLOT_WIDTH} {height}")) role="img"
+                    aria-label=(format!("Budget and use of {}", tenant.name)) {
+                    text x="4" y="16" { title { (tenant.name) } (truncated_name(&tenant.name)) }
+                    text.tick x=(compact(LEFT_MARGIN - 6.0)) y="12" text-anchor="end" {}
+                    text.soft x="4" y="32" { "0 to " (compact(scale)) }
                     (axis.grid(height))
-                    path.servedarea d=(area(&tenant.open, axis, step, base, y)) {}
-                    path.servedline d=(path(&tenant.open, axis, step, y)) {}
-                    path.queueline d=(path(&tenant.queued, axis, step, y)) {}
-                    path.limitline d=(path(&tenant.budget, axis, step, y)) {}
+                    path.servedarea d=(area_path(&tenant.open, axis, step, base, y)) {}
+                    path.servedline d=(curve_path(&tenant.open, axis, step, y)) {}
+                    path.queueline d=(curve_path(&tenant.queued, axis, step, y)) {}
+                    path.limitline d=(curve_path(&tenant.budget, axis, step, y)) {}
                 }
             }
         }
-        @if findings.budgets.len() > MOST_TENANTS {
-            p.soft { (findings.budgets.len() - MOST_TENANTS) " further tenants are not drawn." }
+        @if findings.budgets.len() > MAX_TENANT_PLOTS {
+            p.soft { (findings.budgets.len() - MAX_TENANT_PLOTS) " further tenants are not drawn." }
         }
     }
 }
 
-fn nodes(findings: &Findings) -> Markup {
+fn nodes_table(findings: &Findings) -> Markup {
     html! {
         div.wide { table {
             thead { tr {
@@ -481,8 +523,8 @@
                                 RunEnd::RecordsEnd => "records end here",
                             } }
                             @if at == 0 {
-                                td.n { (number(node.transactions as f64)) } td.n { (number(node.turned_away as f64)) }
-                                td.n { (number(node.moved as f64)) }
+                                td.n { (format_number(node.transactions as f64)) } td.n { (format_number(node.turned_away as f64)) }
+                                td.n { (format_number(node.moved as f64)) }
                             } @else { td {} td {} td {} }
                         }
                     }
--- a/crates/ops/src/report/tests.rs
+++ b/crates/ops/src/report/tests.rs
@@ -2,7 +2,7 @@
 use hopmoor_incident::Span;
 
 #[test]
-fn names_from_outside_do_nothing_in_the_page() {
+fn names_from_records_are_escaped_in_the_page() {
     let name = "<script>alert(1)</script>\"'&";
     let span = Span { state: State::Silent, from: 1e12, until: None, evidence: 3 };
     let incident = Incident {
@@ -26,14 +26,14 @@
         incidents: vec![incident],
         ..Findings::default()
     };
-    let page = written(&findings);
+    let page = render_page(&findings);
     assert!(!page.contains("<script") && !page.contains("alert(1)</") && page.contains("&lt;script&gt;"));
-    // Quotes end no attribute.
+    // A quote in a name does not close the attribute that holds it.
     assert!(!page.contains("&quot;'&amp;\" href") && !page.contains("m-<"));
 }
 
 #[test]
-fn nothing_found_is_a_page_as_well() {
-    let page = written(&Findings::default());
+fn empty_findings_render_a_whole_page() {
+    let page = render_page(&Findings::default());
     assert!(page.contains("Incident report") && page.contains("</html>"));
 }
--- a/crates/page/src/lib.rs
+++ b/crates/page/src/lib.rs
@@ -1,5 +1,5 @@
-//! The look of hopmoor's reports: one self-contained page, light or dark as its reader has it, readable at the width
-//! of a phone, with plots drawn into it. No scripts, and nothing from elsewhere.
+//! Layout of hopmoor's HTML reports: one self-contained page with inline plots, no scripts and no external
+//! resources. It follows the reader's light or dark colour scheme and is readable on a phone.
 
 pub mod plot;
 pub mod time;
@@ -8,9 +8,9 @@
 
 const STYLE: &str = include_str!("style.css");
 
-/// A whole page. `title` and whatever stands in `body` were escaped when they were made.
+/// Renders a whole page. `title` is escaped here; `body` was escaped when its markup was made.
 pub fn page(title: &str, body: &Markup) -> String {
-    let whole = html! {
+    let document = html! {
         (DOCTYPE)
         html lang="en" {
             head {
@@ -23,23 +23,23 @@
             body { main { (body) } }
         }
     };
-    whole.into_string()
+    document.into_string()
 }
 
-/// A figure with its name, for a row of them at the top of a page.
-pub fn tile(name: &str, figure: &str, more: &str, bad: bool) -> Markup {
+/// A tile with a figure, its name and a note, for the row at the top of a page; `bad` highlights it.
+pub fn tile(name: &str, figure: &str, note: &str, bad: bool) -> Markup {
     html! {
         div.tile.bad[bad] {
             span.name { (name) }
             span.figure { (figure) }
-            span.more { (more) }
+            span.more { (note) }
         }
     }
 }
 
-/// A part of a whole, as people read it.
-pub fn percent(part: f64) -> String {
-    let percent = part * 100.0;
+/// Formats a share as a percentage; a share of 1 is 100%.
+pub fn format_percent(share: f64) -> String {
+    let percent = share * 100.0;
     if percent == 0.0 {
         "0%".into()
     } else if percent.abs() < 0.01 {
@@ -51,12 +51,12 @@
     }
 }
 
-/// A number with its thousands set apart.
-pub fn number(value: f64) -> String {
+/// Formats a number without decimals, with a narrow no-break space between groups of three digits.
+pub fn format_number(value: f64) -> String {
     let digits = format!("{:.0}", value.abs());
     let mut text = String::new();
-    for (at, digit) in digits.chars().enumerate() {
-        if at > 0 && (digits.len() - at).is_multiple_of(3) {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index).is_multiple_of(3) {
             text.push('\u{202f}');
         }
         text.push(digit);
--- a/crates/page/src/plot.rs
+++ b/crates/page/src/plot.rs
@@ -1,88 +1,89 @@
-//! Plots as inline SVG, laid by hand: lanes with spans, and curves over one axis of time.
+//! Building blocks of plots in inline SVG: a time axis with ticks, curves and areas.
 
 use crate::time;
 use maud::{Markup, html};
 
-/// Width of all plots, in their own units, and of the names at their left.
-pub const WIDTH: f64 = 1_000.0;
-/// Room for names.
-pub const LEFT: f64 = 120.0;
-/// Room at the right.
-pub const RIGHT: f64 = 12.0;
+/// Width of all plots, in SVG units.
+pub const PLOT_WIDTH: f64 = 1_000.0;
+/// Margin at the left, for names.
+pub const LEFT_MARGIN: f64 = 120.0;
+/// Margin at the right.
+pub const RIGHT_MARGIN: f64 = 12.0;
 
-/// An axis of time.
+/// A horizontal time axis.
 #[derive(Clone, Copy, Debug)]
-pub struct Axis {
-    /// Its left end, in Unix milliseconds.
+pub struct TimeAxis {
+    /// Time at the left end, in Unix milliseconds.
     pub from: f64,
-    /// Its right end.
+    /// Time at the right end, in Unix milliseconds.
     pub until: f64,
 }
 
-impl Axis {
-    /// Where a time stands.
+impl TimeAxis {
+    /// Horizontal position of a time, in SVG units; times outside the axis are moved to its ends.
     pub fn x(&self, at: f64) -> f64 {
-        let part = (at - self.from) / (self.until - self.from).max(1.0);
-        LEFT + part.clamp(0.0, 1.0) * (WIDTH - LEFT - RIGHT)
+        let share = (at - self.from) / (self.until - self.from).max(1.0);
+        LEFT_MARGIN + share.clamp(0.0, 1.0) * (PLOT_WIDTH - LEFT_MARGIN - RIGHT_MARGIN)
     }
 
-    /// Times for ticks: at most some ten, on whole units.
+    /// Times of the ticks, about ten at most, on multiples of whole seconds, minutes, hours or days.
     pub fn ticks(&self) -> Vec<f64> {
         let span = (self.until - self.from).max(1.0);
-        let steps =
+        let steps_s =
             [1.0, 2.0, 5.0, 10.0, 15.0, 30.0, 60.0, 120.0, 300.0, 600.0, 900.0, 1_800.0, 3_600.0, 7_200.0];
-        let days = [10_800.0, 21_600.0, 43_200.0, 86_400.0, 172_800.0, 604_800.0];
+        let long_steps_s = [10_800.0, 21_600.0, 43_200.0, 86_400.0, 172_800.0, 604_800.0];
         let fits = |step: &&f64| span / (**step * 1_000.0) <= 10.0;
-        let step = steps.iter().chain(&days).find(fits).copied().unwrap_or(span / 10_000.0) * 1_000.0;
+        let step =
+            steps_s.iter().chain(&long_steps_s).find(fits).copied().unwrap_or(span / 10_000.0) * 1_000.0;
         let first = (self.from / step).ceil() as i64;
         let last = (self.until / step).floor() as i64;
         (first..=last.min(first + 20)).map(|at| at as f64 * step).collect()
     }
 
-    /// Lines and times at the ticks, for a plot so high.
+    /// Vertical lines and times at the ticks, for a plot of this height.
     pub fn grid(&self, height: f64) -> Markup {
         html! {
             @for at in self.ticks() {
-                line.grid x1=(short(self.x(at))) x2=(short(self.x(at))) y1="0" y2=(short(height - 16.0)) {}
-                text.tick x=(short(self.x(at))) y=(short(height - 3.0)) text-anchor="middle" { (time::clock(at)) }
+                line.grid x1=(compact(self.x(at))) x2=(compact(self.x(at))) y1="0" y2=(compact(height - 16.0)) {}
+                text.tick x=(compact(self.x(at))) y=(compact(height - 3.0)) text-anchor="middle" { (time::clock(at)) }
             }
         }
     }
 }
 
-/// A number short enough for a drawing.
-pub fn short(value: f64) -> String {
+/// Formats a number with at most one decimal: `2.5`, `3`.
+pub fn compact(value: f64) -> String {
     let text = format!("{value:.1}");
     text.strip_suffix(".0").map(str::to_owned).unwrap_or(text)
 }
 
-/// Points of a curve as a path; a step of it lies in its middle. Long curves are thinned to what can be seen, each
-/// part by its mean.
-pub fn path(values: &[f32], axis: &Axis, step_ms: f64, y: impl Fn(f64) -> f64) -> String {
-    let most = 400;
-    let group = values.len().div_ceil(most).max(1);
-    let mut path = String::new();
-    for (at, part) in values.chunks(group).enumerate() {
-        let mean = part.iter().map(|value| f64::from(*value)).sum::<f64>() / part.len() as f64;
-        let middle = (at * group) as f64 + part.len() as f64 / 2.0;
+/// Path data of a curve. Each value covers `step_ms` and is drawn at the middle of that interval. Curves of
+/// more than 400 values are downsampled: each point is the mean of a group of values.
+pub fn curve_path(values: &[f32], axis: &TimeAxis, step_ms: f64, y: impl Fn(f64) -> f64) -> String {
+    let max_points = 400;
+    let group = values.len().div_ceil(max_points).max(1);
+    let mut data = String::new();
+    for (index, chunk) in values.chunks(group).enumerate() {
+        let mean = chunk.iter().map(|value| f64::from(*value)).sum::<f64>() / chunk.len() as f64;
+        let middle = (index * group) as f64 + chunk.len() as f64 / 2.0;
         let x = axis.x(axis.from + middle * step_ms);
-        path.push(if at == 0 { 'M' } else { 'L' });
-        path.push_str(&format!("{} {}", short(x), short(y(mean))));
+        data.push(if index == 0 { 'M' } else { 'L' });
+        data.push_str(&format!("{} {}", compact(x), compact(y(mean))));
     }
-    path
+    data
 }
 
-/// The same, closed down to a base line.
-pub fn area(values: &[f32], axis: &Axis, step_ms: f64, base: f64, y: impl Fn(f64) -> f64) -> String {
+/// Path data of the area between a curve, as [`curve_path`] draws it, and a base line.
+pub fn area_path(values: &[f32], axis: &TimeAxis, step_ms: f64, base: f64, y: impl Fn(f64) -> f64) -> String {
     if values.is_empty() {
         return String::new();
     }
-    let line = path(values, axis, step_ms, y);
+    let line = curve_path(values, axis, step_ms, y);
     let (left, right) = (axis.x(axis.from), axis.x(axis.from + values.len() as f64 * step_ms));
-    format!("M{} {base} {} L{} {base} Z", short(left), line.replacen('M', "L", 1), short(right))
+    format!("M{} {base} {} L{} {base} Z", compact(left), line.replacen('M', "L", 1), compact(right))
 }
 
-/// A round number at or over this one, for the top of a scale.
+/// The smallest round number that is at least `value`, for the top of a scale; 1 if `value` is not positive.
 pub fn round_up(value: f64) -> f64 {
     if value <= 0.0 || !value.is_finite() {
         return 1.0;
--- a/crates/page/src/time.rs
+++ b/crates/page/src/time.rs
@@ -1,4 +1,4 @@
-//! Times and spans as people read them; all in UTC.
+//! Formatting and parsing of times and durations for people; all times are UTC.
 
 use jiff::Timestamp;
 use jiff::tz::TimeZone;
@@ -8,35 +8,36 @@
     Some(stamp.to_zoned(TimeZone::UTC))
 }
 
-fn format(ms: f64, form: &str) -> String {
-    zoned(ms).map_or_else(|| "?".into(), |time| time.strftime(form).to_string())
+fn format(ms: f64, pattern: &str) -> String {
+    zoned(ms).map_or_else(|| "?".into(), |time| time.strftime(pattern).to_string())
 }
 
-/// `12:03:10`.
+/// Formats Unix milliseconds as `12:03:10`.
 pub fn clock(ms: f64) -> String {
     format(ms, "%H:%M:%S")
 }
 
-/// `12:03:10.123`.
+/// Formats Unix milliseconds as `12:03:10.123`.
 pub fn clock_ms(ms: f64) -> String {
     format(ms, "%H:%M:%S%.3f")
 }
 
-/// `2026-12-01 12:03:10`.
+/// Formats Unix milliseconds as `2026-12-01 12:03:10`.
 pub fn date_clock(ms: f64) -> String {
     format(ms, "%Y-%m-%d %H:%M:%S")
 }
 
-/// `2026-12-01T12:03:10.123Z`.
-pub fn stamp(ms: f64) -> String {
+/// Formats Unix milliseconds as `2026-12-01T12:03:10.123Z`.
+pub fn rfc3339(ms: f64) -> String {
     format(ms, "%Y-%m-%dT%H:%M:%S%.3fZ")
 }
 
-/// Reads a time: RFC 3339, a clock time on the day of `near`, or Unix milliseconds.
+/// Parses a time into Unix milliseconds: RFC 3339, a time of day on the date of `near_ms`, or Unix
+/// milliseconds.
 ///
 /// # Errors
-/// One line that says what is taken.
-pub fn read(text: &str, near: f64) -> Result<f64, String> {
+/// A message of one line that names the accepted forms.
+pub fn parse(text: &str, near_ms: f64) -> Result<f64, String> {
     if let Ok(stamp) = text.parse::<Timestamp>() {
         return Ok(stamp.as_millisecond() as f64);
     }
@@ -46,13 +47,14 @@
         return Ok(ms);
     }
     let time = text.parse::<jiff::civil::Time>().ok();
-    let on_day = time.and_then(|time| zoned(near)?.date().to_datetime(time).to_zoned(TimeZone::UTC).ok());
-    let refused = || format!("'{text}' is no time: give 2026-12-01T12:03:10Z, 12:03:10 or Unix milliseconds");
-    on_day.map(|time| time.timestamp().as_millisecond() as f64).ok_or_else(refused)
+    let on_day = time.and_then(|time| zoned(near_ms)?.date().to_datetime(time).to_zoned(TimeZone::UTC).ok());
+    let invalid =
+        || format!("'{text}' is not a time: expected 2026-12-01T12:03:10Z, 12:03:10 or Unix milliseconds");
+    on_day.map(|time| time.timestamp().as_millisecond() as f64).ok_or_else(invalid)
 }
 
-/// A span: `340 ms`, `12.4 s`, `3 min 20 s`, `2 h 5 min`.
-pub fn span(ms: f64) -> String {
+/// Formats a duration, as in `340 ms`, `12.4 s`, `3 min 20 s`, `2 h 5 min`.
+pub fn duration(ms: f64) -> String {
     let s = ms / 1_000.0;
     if s < 1.0 {
         format!("{ms:.0} ms")
