--- a/crates/agree/src/entry.rs
+++ b/crates/agree/src/entry.rs
@@ -25,25 +25,25 @@
 
 /// How many may be out at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Most {
+pub enum BudgetLimit {
     /// So many.
     Number(u32),
     /// So many in a hundred of those known, rounded down.
     Percent(u8),
 }
 
-impl Most {
+impl BudgetLimit {
     pub(crate) fn of(self, known: usize) -> usize {
         match self {
-            Most::Number(number) => number as usize,
-            Most::Percent(share) => known * usize::from(share.min(100)) / 100,
+            BudgetLimit::Number(number) => number as usize,
+            BudgetLimit::Percent(share) => known * usize::from(share.min(100)) / 100,
         }
     }
 }
 
 /// How a node stands, as the leader's view has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum NodeStatus {
     /// Takes clients. Any other counts as out.
     Serving,
     /// Moves its clients away and takes none.
@@ -60,17 +60,17 @@
     Unknown,
 }
 
-impl Standing {
+impl NodeStatus {
     /// As in answers.
     pub fn text(self) -> &'static str {
         match self {
-            Standing::Serving => "serving",
-            Standing::Draining => "draining",
-            Standing::Ending => "ending",
-            Standing::NotReady => "not ready",
-            Standing::Dead => "dead",
-            Standing::Left => "left",
-            Standing::Unknown => "unknown",
+            NodeStatus::Serving => "serving",
+            NodeStatus::Draining => "draining",
+            NodeStatus::Ending => "ending",
+            NodeStatus::NotReady => "not ready",
+            NodeStatus::Dead => "dead",
+            NodeStatus::Left => "left",
+            NodeStatus::Unknown => "unknown",
         }
     }
 }
@@ -85,14 +85,14 @@
     /// Which coming of it.
     pub incarnation: u64,
     /// How it stands.
-    pub standing: Standing,
+    pub status: NodeStatus,
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// An operator sets a budget.
-    Budget(Scope, Most),
+    Budget(Scope, BudgetLimit),
     /// What the leader's view tells anew.
     Seen(Vec<SeenNode>),
     /// A node asks to drain.
--- a/crates/agree/src/message.rs
+++ b/crates/agree/src/message.rs
@@ -1,7 +1,7 @@
 //! What goes between nodes, in the fleet's sealed datagrams. The order of variants is the format: new ones come last.
 
+use crate::bootstrap::Hail;
 use crate::entry::{Entry, Request};
-use crate::founding::Hail;
 use crate::state::Answer;
 use serde::{Deserialize, Serialize};
 
--- a/crates/agree/src/part.rs
+++ b/crates/agree/src/participant.rs
@@ -1,12 +1,12 @@
 //! A node's part in the agreement, whole: it asks for its own drains, and votes if it is a voter. Fed messages, ticks and
 //! the view; yields what is to be sent, kept and done.
 
-use crate::asking::Asking;
+use crate::bootstrap::{Founders, Founding, Hail, Outcome};
 use crate::entry::{Entry, Request, SeenNode};
-use crate::founding::{Founders, Founding, Hail, Outcome};
 use crate::message::Message;
+use crate::permit_client::PermitClient;
 use crate::state::{Answer, Change, Permit};
-use crate::voter::{Kept, Voter, Work};
+use crate::voter::{PendingWrite, PersistedState, Voter};
 use std::collections::VecDeque;
 
 /// Voters that found tell each other so this often.
@@ -14,65 +14,65 @@
 
 /// What is to be done.
 #[derive(Debug)]
-pub enum Order {
+pub enum Action {
     /// Send this to a node; it may be lost.
     Send(String, Vec<u8>),
     /// The node is to drain, by this permit.
     Drain(u64),
-    /// Have it on disk that the log is founded by these; then [`Part::founded`].
-    Found(Vec<u8>),
-    /// Have this on disk; then [`Part::kept`].
-    Keep(Work),
+    /// Have it on disk that the log is founded by these; then [`Participant::founders_persisted`].
+    PersistFounders(Vec<u8>),
+    /// Have this on disk; then [`Participant::persisted`].
+    Persist(PendingWrite),
 }
 
 /// What staff may want to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum VoterStatus {
     /// It votes.
-    Votes {
+    Voting {
         /// In this term.
         term: u64,
     },
     /// It does not vote, or no more, because of this.
-    Silent(String),
+    NotVoting(String),
 }
 
 /// A node's part.
-pub struct Part {
+pub struct Participant {
     me: String,
     voters: Vec<String>,
     seed: u64,
     /// The node's coming now.
     incarnation: u64,
     log: slog::Logger,
-    asking: Asking,
+    permit_client: PermitClient,
     voter: Option<Voter>,
-    founding: Option<Founding>,
+    bootstrap: Option<Founding>,
     founders: Option<Founders>,
-    silent: Option<String>,
+    not_voting_reason: Option<String>,
     /// The voter to be asked next.
     turn: usize,
     hails: u64,
     /// Something is on its way to disk.
     busy: bool,
-    orders: VecDeque<Order>,
-    notes: VecDeque<Note>,
+    orders: VecDeque<Action>,
+    notes: VecDeque<VoterStatus>,
 }
 
-impl Part {
+impl Participant {
     /// A node's part at its start. The seed is drawn anew at each start.
-    pub fn new(me: &str, voters: &[String], seed: u64, log: slog::Logger) -> Part {
-        Part {
+    pub fn new(me: &str, voters: &[String], seed: u64, log: slog::Logger) -> Participant {
+        Participant {
             me: me.to_owned(),
             voters: voters.to_vec(),
             seed,
             incarnation: 0,
             log,
-            asking: Asking::default(),
+            permit_client: PermitClient::default(),
             voter: None,
-            founding: None,
+            bootstrap: None,
             founders: None,
-            silent: None,
+            not_voting_reason: None,
             turn: 0,
             hails: 0,
             busy: false,
@@ -82,35 +82,37 @@
     }
 
     /// Whether it is to vote: its folder is to be opened then.
-    pub fn is_to_vote(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.voters.contains(&self.me)
     }
 
     /// Its folder is open, with what was in it; none: it is empty.
-    pub fn opened(&mut self, found: Option<(Vec<u8>, Kept)>) {
+    pub fn folder_opened(&mut self, found: Option<(Vec<u8>, PersistedState)>) {
         match found {
-            Some((founded, kept)) => match postcard::from_bytes::<(String, Founders)>(&founded) {
-                // Two that vote from one folder's copies would vote twice.
-                Ok((whose, _)) if whose != self.me => self.stop(&format!("the folder is {whose}'s")),
-                Ok((_, founders)) => self.begin(founders, kept),
-                Err(_) => self.stop("the folder does not say who founded the log"),
-            },
-            None => self.founding = Some(Founding::new(&self.me, &self.voters, self.seed)),
+            Some((founders_persisted, persisted)) => {
+                match postcard::from_bytes::<(String, Founders)>(&founders_persisted) {
+                    // Two that vote from one folder's copies would vote twice.
+                    Ok((whose, _)) if whose != self.me => self.stop(&format!("the folder is {whose}'s")),
+                    Ok((_, founders)) => self.begin(founders, persisted),
+                    Err(_) => self.stop("the folder does not say who founded the log"),
+                }
+            }
+            None => self.bootstrap = Some(Founding::new(&self.me, &self.voters, self.seed)),
         }
     }
 
     /// It can't vote, or no more: its folder is not to be had, or what was to be kept was not.
     pub fn stop(&mut self, why: &str) {
         self.voter = None;
-        self.founding = None;
+        self.bootstrap = None;
         self.busy = false;
-        if self.silent.as_deref() != Some(why) {
-            self.silent = Some(why.to_owned());
-            self.notes.push_back(Note::Silent(why.to_owned()));
+        if self.not_voting_reason.as_deref() != Some(why) {
+            self.not_voting_reason = Some(why.to_owned());
+            self.notes.push_back(VoterStatus::NotVoting(why.to_owned()));
         }
     }
 
-    fn begin(&mut self, founders: Founders, kept: Kept) {
+    fn begin(&mut self, founders: Founders, persisted: PersistedState) {
         // Voters that count different majorities would agree on different things.
         if founders.len() != self.voters.len() || self.voters.iter().any(|name| !founders.contains_key(name))
         {
@@ -118,10 +120,10 @@
             return self
                 .stop(&format!("fleet.agree.voters are not those that founded: {}", names.join(", ")));
         }
-        match Voter::new(&self.me, &self.voters, kept, self.seed, &self.log) {
+        match Voter::new(&self.me, &self.voters, persisted, self.seed, &self.log) {
             Ok(voter) => {
-                self.silent = None;
-                self.notes.push_back(Note::Votes { term: voter.term() });
+                self.not_voting_reason = None;
+                self.notes.push_back(VoterStatus::Voting { term: voter.term() });
                 self.founders = Some(founders);
                 self.voter = Some(voter);
             }
@@ -130,18 +132,18 @@
     }
 
     /// Asks for a permit to drain, under this new number, unless it asks or holds one.
-    pub fn ask(&mut self, request: Request) {
-        self.asking.ask(request);
+    pub fn request_permit(&mut self, request: Request) {
+        self.permit_client.request_permit(request);
     }
 
     /// The node serves, or is not to drain: it gives back what it holds or asks.
-    pub fn give_back(&mut self) {
-        self.asking.give_back();
+    pub fn release(&mut self) {
+        self.permit_client.release();
     }
 
     /// What it asks and holds.
-    pub fn asking(&self) -> &Asking {
-        &self.asking
+    pub fn permit_client(&self) -> &PermitClient {
+        &self.permit_client
     }
 
     /// The voter, if it votes.
@@ -150,12 +152,12 @@
     }
 
     /// Why it does not vote, if it is to.
-    pub fn silent(&self) -> Option<&str> {
-        self.silent.as_deref()
+    pub fn not_voting_reason(&self) -> Option<&str> {
+        self.not_voting_reason.as_deref()
     }
 
     /// What staff may want to know.
-    pub fn note(&mut self) -> Option<Note> {
+    pub fn voter_status(&mut self) -> Option<VoterStatus> {
         self.notes.pop_front()
     }
 
@@ -165,35 +167,35 @@
             voter.tick();
         }
         if now >= self.hails
-            && let Some(founding) = &self.founding
+            && let Some(bootstrap) = &self.bootstrap
         {
             self.hails = now + HAIL_MS;
-            let hail = Message::Hail(founding.hail());
+            let hail = Message::Hail(bootstrap.hail());
             let others: Vec<String> =
                 self.voters.iter().filter(|voter| **voter != self.me).cloned().collect();
             others.iter().for_each(|to| self.send(to, &hail));
         }
-        if let Some(alone) = self.founding.as_ref().map(Founding::alone) {
+        if let Some(alone) = self.bootstrap.as_ref().map(Founding::alone) {
             self.found(alone);
         }
     }
 
     /// Whether the view is wanted: it is a leader's.
-    pub fn wants_view(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::leads)
     }
 
     /// How the view has the nodes.
-    pub fn sees(&mut self, view: &[SeenNode]) {
+    pub fn update_view(&mut self, view: &[SeenNode]) {
         if let Some(voter) = &mut self.voter {
-            voter.sees(view);
+            voter.update_view(view);
         }
     }
 
     /// Asks and gives back what is due, as this coming of the node. To be called before messages are taken.
     pub fn due(&mut self, now: u64, incarnation: u64) {
         self.incarnation = incarnation;
-        for entry in self.asking.due(now, &self.me, incarnation) {
+        for entry in self.permit_client.due(now, &self.me, incarnation) {
             let to = self.voters.get(self.turn % self.voters.len().max(1)).cloned();
             self.turn = self.turn.wrapping_add(1);
             if let Some(to) = to {
@@ -219,15 +221,15 @@
             }
             Message::Propose(entry) => self.proposed(from, entry),
             Message::Answer(request, answer) if of_voter => {
-                if self.asking.answered(request, answer, self.incarnation)
-                    && let Some(fence) = self.asking.fence()
+                if self.permit_client.answered(request, answer, self.incarnation)
+                    && let Some(fence) = self.permit_client.fence()
                 {
-                    self.orders.push_back(Order::Drain(fence));
+                    self.orders.push_back(Action::Drain(fence));
                 }
             }
-            Message::Hail(hail) if of_voter => match (&mut self.founding, hail) {
-                (Some(founding), hail) => {
-                    let outcome = founding.heard(from, hail);
+            Message::Hail(hail) if of_voter => match (&mut self.bootstrap, hail) {
+                (Some(bootstrap), hail) => {
+                    let outcome = bootstrap.heard(from, hail);
                     self.found(outcome);
                 }
                 // One that has founded tells who is empty still.
@@ -246,10 +248,10 @@
         match outcome {
             Outcome::Waits => {}
             Outcome::Founds(founders) => {
-                self.founding = None;
+                self.bootstrap = None;
                 self.busy = true;
                 match postcard::to_stdvec(&(&self.me, &founders)) {
-                    Ok(bytes) => self.orders.push_back(Order::Found(bytes)),
+                    Ok(bytes) => self.orders.push_back(Action::PersistFounders(bytes)),
                     Err(_) => self.stop("who founds can't be written"),
                 }
                 self.founders = Some(founders);
@@ -261,10 +263,10 @@
     }
 
     /// That the log is founded is on disk.
-    pub fn founded(&mut self) {
+    pub fn founders_persisted(&mut self) {
         if let Some(founders) = self.founders.take() {
             self.busy = false;
-            self.begin(founders, Kept::default());
+            self.begin(founders, PersistedState::default());
         }
     }
 
@@ -301,7 +303,7 @@
         if to == self.me {
             self.take(&self.me.clone(), message.clone());
         } else if let Some(bytes) = message.write() {
-            self.orders.push_back(Order::Send(to.to_owned(), bytes));
+            self.orders.push_back(Action::Send(to.to_owned(), bytes));
         }
     }
 
@@ -312,10 +314,10 @@
     }
 
     /// What is to be done next.
-    pub fn order(&mut self) -> Option<Order> {
+    pub fn next_action(&mut self) -> Option<Action> {
         loop {
-            if let Some(order) = self.orders.pop_front() {
-                return Some(order);
+            if let Some(next_action) = self.orders.pop_front() {
+                return Some(next_action);
             }
             if self.busy {
                 return None;
@@ -326,10 +328,10 @@
                 Ok(Some(mut work)) => {
                     self.say(std::mem::take(&mut work.first));
                     self.busy = true;
-                    if work.log.is_empty() && work.vote.is_none() {
-                        self.kept();
+                    if work.log.is_empty() && work.hard_state.is_none() {
+                        self.persisted();
                     } else {
-                        self.orders.push_back(Order::Keep(work));
+                        self.orders.push_back(Action::Persist(work));
                     }
                 }
             }
@@ -337,7 +339,7 @@
     }
 
     /// What was to be kept is on disk.
-    pub fn kept(&mut self) {
+    pub fn persisted(&mut self) {
         self.busy = false;
         if let Some(messages) = self.voter.as_mut().map(Voter::done) {
             self.say(messages);
--- a/crates/agree/src/asking.rs
+++ b/crates/agree/src/permit_client.rs
@@ -19,16 +19,16 @@
 
 /// What a node asks and holds.
 #[derive(Debug, Default)]
-pub struct Asking {
+pub struct PermitClient {
     asks: Option<Asked>,
     /// What it gives back, until it is known that the log has it.
     backs: Vec<Request>,
     due: u64,
 }
 
-impl Asking {
+impl PermitClient {
     /// Asks under this new number, unless it asks or holds already.
-    pub fn ask(&mut self, request: Request) {
+    pub fn request_permit(&mut self, request: Request) {
         if self.asks.is_none() && self.backs.len() < BACKS {
             self.asks = Some(Asked { request, last: None, fence: None });
             self.due = 0;
@@ -36,20 +36,20 @@
     }
 
     /// Asks no more, or gives back what it holds: the node serves.
-    pub fn give_back(&mut self) {
-        if let Some(standing) = self.asks.take() {
-            self.backs.push(standing.request);
+    pub fn release(&mut self) {
+        if let Some(status) = self.asks.take() {
+            self.backs.push(status.request);
             self.due = 0;
         }
     }
 
     /// What it has been told; none: it asks for nothing. A last answer that has not come is said.
-    pub fn told(&self) -> Option<String> {
-        let Some(standing) = &self.asks else {
+    pub fn status_text(&self) -> Option<String> {
+        let Some(status) = &self.asks else {
             return (self.backs.len() >= BACKS)
                 .then(|| format!("waiting: {BACKS} are still to be given back"));
         };
-        Some(match (&standing.fence, &standing.last) {
+        Some(match (&status.fence, &status.last) {
             (Some(fence), _) => format!("permit {fence}"),
             (None, Some(Answer::Waiting(why))) => format!("waiting: {why}"),
             (None, Some(Answer::Refused(why))) => format!("refused: {why}"),
@@ -68,22 +68,22 @@
         if answer == Answer::Over {
             self.backs.retain(|back| *back != request);
         }
-        let Some(standing) = self.asks.as_mut().filter(|standing| standing.request == request) else {
+        let Some(status) = self.asks.as_mut().filter(|status| status.request == request) else {
             return false;
         };
         let begins = match answer {
-            Answer::Granted { fence, incarnation: to } if standing.fence.is_none() && to == incarnation => {
-                standing.fence = Some(fence);
+            Answer::Granted { fence, incarnation: to } if status.fence.is_none() && to == incarnation => {
+                status.fence = Some(fence);
                 true
             }
             // Of an earlier coming: it asks anew. One that drains already finishes.
-            Answer::Over if standing.fence.is_none() => {
-                *standing = Asked { request: request.wrapping_add(1), last: None, fence: None };
+            Answer::Over if status.fence.is_none() => {
+                *status = Asked { request: request.wrapping_add(1), last: None, fence: None };
                 return false;
             }
             _ => false,
         };
-        standing.last = Some(answer);
+        status.last = Some(answer);
         begins
     }
 
@@ -93,10 +93,10 @@
             return Vec::new();
         }
         self.due = now + AGAIN_MS;
-        let asks = self.asks.as_ref().filter(|standing| standing.fence.is_none());
-        let ask =
-            asks.map(|standing| Entry::Ask { request: standing.request, node: node.to_owned(), incarnation });
-        ask.into_iter().chain(self.backs.iter().map(|request| Entry::Back(*request))).collect()
+        let asks = self.asks.as_ref().filter(|status| status.fence.is_none());
+        let request_permit =
+            asks.map(|status| Entry::Ask { request: status.request, node: node.to_owned(), incarnation });
+        request_permit.into_iter().chain(self.backs.iter().map(|request| Entry::Back(*request))).collect()
     }
 }
 
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -1,11 +1,11 @@
 //! Budgets and permits, computed from the log alone: each voter that applies the same entries holds the same.
 
-use crate::entry::{Entry, Most, Request, Scope, SeenNode, Standing};
+use crate::entry::{BudgetLimit, Entry, NodeStatus, Request, Scope, SeenNode};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What the fleet's budget is before anybody sets one: the least that lets a release go on.
-const FIRST: Most = Most::Number(1);
+const FIRST: BudgetLimit = BudgetLimit::Number(1);
 /// Requests that are over, remembered so that a late copy is not taken up again: far more than are ever under way.
 const OVER: usize = 4_096;
 /// Asks that stand at once; more are refused. Guards against a node that asks without end.
@@ -73,14 +73,14 @@
 struct Node {
     zone: String,
     incarnation: u64,
-    standing: Standing,
+    status: NodeStatus,
 }
 
 /// All that the log says so far.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     index: u64,
-    budgets: BTreeMap<Scope, Most>,
+    budgets: BTreeMap<Scope, BudgetLimit>,
     nodes: BTreeMap<String, Node>,
     /// In the order they were asked.
     asks: Vec<Permit>,
@@ -119,16 +119,16 @@
     }
 
     fn see(&mut self, seen: SeenNode, changes: &mut Vec<Change>) {
-        let SeenNode { name, zone, incarnation, standing } = seen;
+        let SeenNode { name, zone, incarnation, status } = seen;
         if self.nodes.get(&name).is_some_and(|known| known.incarnation > incarnation) {
             return;
         }
-        if standing == Standing::Serving {
+        if status == NodeStatus::Serving {
             // Its earlier comings are no more, and with them what they asked. Only this frees the permit of a dead node.
             self.end(|ask| ask.node == name && ask.incarnation < incarnation, None, changes);
         }
         if self.nodes.len() < NODES || self.nodes.contains_key(&name) {
-            self.nodes.insert(name, Node { zone, incarnation, standing });
+            self.nodes.insert(name, Node { zone, incarnation, status });
         }
     }
 
@@ -177,11 +177,11 @@
     /// Why a node is out; none: it is not.
     fn out(&self, name: &str) -> Option<String> {
         let permit = self.asks.iter().find_map(|ask| ask.fence.filter(|_| ask.node == name));
-        let standing = self.nodes.get(name).map_or(Standing::Unknown, |node| node.standing);
-        match (standing, permit) {
-            (Standing::Serving, None) => None,
-            (Standing::Serving, Some(fence)) => Some(format!("permit {fence}")),
-            (standing, _) => Some(standing.text().to_owned()),
+        let status = self.nodes.get(name).map_or(NodeStatus::Unknown, |node| node.status);
+        match (status, permit) {
+            (NodeStatus::Serving, None) => None,
+            (NodeStatus::Serving, Some(fence)) => Some(format!("permit {fence}")),
+            (status, _) => Some(status.text().to_owned()),
         }
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// The budgets.
-    pub fn budgets(&self) -> impl Iterator<Item = (&Scope, Most)> {
+    pub fn budgets(&self) -> impl Iterator<Item = (&Scope, BudgetLimit)> {
         self.budgets.iter().map(|(scope, most)| (scope, *most))
     }
 
@@ -259,12 +259,12 @@
     pub fn news(&self, view: &[SeenNode]) -> Vec<SeenNode> {
         let changed = view.iter().filter(|seen| {
             self.nodes.get(&seen.name).is_none_or(|known| {
-                (&known.zone, known.standing) != (&seen.zone, seen.standing)
+                (&known.zone, known.status) != (&seen.zone, seen.status)
                     || known.incarnation < seen.incarnation
             }) && self.nodes.get(&seen.name).is_none_or(|known| known.incarnation <= seen.incarnation)
         });
         let gone = self.nodes.iter().filter(|(name, node)| {
-            node.standing != Standing::Unknown && view.iter().all(|seen| seen.name != **name)
+            node.status != NodeStatus::Unknown && view.iter().all(|seen| seen.name != **name)
         });
         changed
             .cloned()
@@ -272,7 +272,7 @@
                 name: name.clone(),
                 zone: node.zone.clone(),
                 incarnation: node.incarnation,
-                standing: Standing::Unknown,
+                status: NodeStatus::Unknown,
             }))
             .collect()
     }
--- a/crates/agree/src/state/tests.rs
+++ b/crates/agree/src/state/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn seen(name: &str, zone: &str, incarnation: u64, standing: Standing) -> SeenNode {
-    SeenNode { name: name.into(), zone: zone.into(), incarnation, standing }
+fn seen(name: &str, zone: &str, incarnation: u64, status: NodeStatus) -> SeenNode {
+    SeenNode { name: name.into(), zone: zone.into(), incarnation, status }
 }
 
 fn fleet(nodes: usize) -> State {
     let mut state = State::default();
     let all =
-        (0..nodes).map(|n| seen(&format!("n{n}"), ["a", "b", "c"][n % 3], 1, Standing::Serving)).collect();
+        (0..nodes).map(|n| seen(&format!("n{n}"), ["a", "b", "c"][n % 3], 1, NodeStatus::Serving)).collect();
     state.apply(1, Entry::Seen(all));
     state
 }
@@ -41,30 +41,30 @@
     let mut state = fleet(3);
     state.apply(2, ask("n0", 10));
     state.apply(3, ask("n1", 11));
-    state.apply(4, Entry::Seen(vec![seen("n0", "a", 1, Standing::Dead)]));
+    state.apply(4, Entry::Seen(vec![seen("n0", "a", 1, NodeStatus::Dead)]));
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 dead".into()));
     // Alive again, and the same coming: it may drain still.
-    state.apply(5, Entry::Seen(vec![seen("n0", "a", 1, Standing::Serving)]));
+    state.apply(5, Entry::Seen(vec![seen("n0", "a", 1, NodeStatus::Serving)]));
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 permit 2".into()));
-    state.apply(6, Entry::Seen(vec![seen("n0", "a", 2, Standing::NotReady)]));
+    state.apply(6, Entry::Seen(vec![seen("n0", "a", 2, NodeStatus::NotReady)]));
     assert_eq!(state.answer(11), Answer::Waiting("fleet: 1 of 1 out: n0 not ready".into()));
-    state.apply(7, Entry::Seen(vec![seen("n0", "a", 2, Standing::Serving)]));
+    state.apply(7, Entry::Seen(vec![seen("n0", "a", 2, NodeStatus::Serving)]));
     assert_eq!(state.answer(10), Answer::Over);
     assert_eq!(state.answer(11), Answer::Granted { fence: 7, incarnation: 1 });
     // Nor is what an earlier coming asked, and comes late, taken up.
     state.apply(8, ask("n0", 12));
     assert_eq!(state.answer(12), Answer::Over);
     // What was seen earlier and comes late changes nothing.
-    state.apply(8, Entry::Seen(vec![seen("n0", "a", 1, Standing::Dead)]));
+    state.apply(8, Entry::Seen(vec![seen("n0", "a", 1, NodeStatus::Dead)]));
     assert_eq!(state.out("n0"), None);
 }
 
 #[test]
 fn what_is_out_by_itself_counts_and_a_smaller_budget_takes_nobody_back() {
     let mut state = fleet(9);
-    state.apply(2, Entry::Budget(Scope::Fleet, Most::Percent(34)));
-    state.apply(3, Entry::Budget(Scope::Zone("a".into()), Most::Number(1)));
-    state.apply(4, Entry::Seen(vec![seen("n3", "a", 1, Standing::Dead)]));
+    state.apply(2, Entry::Budget(Scope::Fleet, BudgetLimit::Percent(34)));
+    state.apply(3, Entry::Budget(Scope::Zone("a".into()), BudgetLimit::Number(1)));
+    state.apply(4, Entry::Seen(vec![seen("n3", "a", 1, NodeStatus::Dead)]));
     state.apply(5, ask("n0", 10));
     assert_eq!(state.answer(10), Answer::Waiting("zone a: 1 of 1 out: n3 dead".into()));
     // Another zone's goes ahead of it.
@@ -74,7 +74,7 @@
         (state.answer(11), state.answer(12)),
         (Answer::Granted { fence: 6, incarnation: 1 }, Answer::Granted { fence: 7, incarnation: 1 })
     );
-    state.apply(8, Entry::Budget(Scope::Fleet, Most::Percent(5)));
+    state.apply(8, Entry::Budget(Scope::Fleet, BudgetLimit::Percent(5)));
     assert_eq!(state.answer(11), Answer::Granted { fence: 6, incarnation: 1 });
     state.apply(9, Entry::Back(11));
     let Answer::Waiting(why) = state.answer(10) else { panic!("granted") };
@@ -87,7 +87,10 @@
 #[test]
 fn news_is_what_the_log_does_not_say() {
     let state = fleet(2);
-    assert_eq!(state.news(&[seen("n0", "a", 1, Standing::Serving)]), [seen("n1", "b", 1, Standing::Unknown)]);
-    let both = [seen("n0", "a", 0, Standing::Dead), seen("n1", "b", 2, Standing::Serving)];
-    assert_eq!(state.news(&both), [seen("n1", "b", 2, Standing::Serving)]);
+    assert_eq!(
+        state.news(&[seen("n0", "a", 1, NodeStatus::Serving)]),
+        [seen("n1", "b", 1, NodeStatus::Unknown)]
+    );
+    let both = [seen("n0", "a", 0, NodeStatus::Dead), seen("n1", "b", 2, NodeStatus::Serving)];
+    assert_eq!(state.news(&both), [seen("n1", "b", 2, NodeStatus::Serving)]);
 }
--- a/crates/agree/src/voter.rs
+++ b/crates/agree/src/voter.rs
@@ -30,22 +30,22 @@
 
 /// What a voter has on disk, as it reads it at its start.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct PersistedState {
     /// Term, vote and what is agreed; none: there was none yet.
-    pub vote: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// The log, in order.
     pub log: Vec<Vec<u8>>,
 }
 
 /// What is to be done, in this order.
 #[derive(Debug, Default)]
-pub struct Work {
+pub struct PendingWrite {
     /// Messages that need not wait.
     pub first: Messages,
     /// To be on disk, together, before [`Voter::done`]: the log from this index on, in place of what was there.
     pub log: Vec<(u64, Vec<u8>)>,
     /// And term and vote.
-    pub vote: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
 }
 
 /// Why a voter can't go on: it stops, and says so.
@@ -101,7 +101,7 @@
     pub fn new(
         me: &str,
         voters: &[String],
-        kept: Kept,
+        persisted: PersistedState,
         seed: u64,
         log: &slog::Logger,
     ) -> Result<Voter, Stopped> {
@@ -110,18 +110,18 @@
         let store = MemStorage::new_with_conf_state((ids, Vec::new()));
         {
             let mut core = store.wl();
-            let entries = kept.log.iter().map(|bytes| LogEntry::parse_from_bytes(bytes));
+            let entries = persisted.log.iter().map(|bytes| LogEntry::parse_from_bytes(bytes));
             let entries = entries.collect::<Result<Vec<_>, _>>()?;
             if entries.iter().zip(1..).any(|(entry, index)| entry.index != index) {
                 return Err(Stopped("the log has a gap".into()));
             }
             core.append(&entries)?;
-            if let Some(vote) = kept.vote {
-                let vote = HardState::parse_from_bytes(&vote)?;
-                if vote.commit > entries.len() as u64 {
+            if let Some(hard_state) = persisted.hard_state {
+                let hard_state = HardState::parse_from_bytes(&hard_state)?;
+                if hard_state.commit > entries.len() as u64 {
                     return Err(Stopped("the log ends before what was agreed".into()));
                 }
-                core.set_hardstate(vote);
+                core.set_hardstate(hard_state);
             }
         }
         let config = Config {
@@ -189,7 +189,7 @@
     }
 
     /// Tells the leader how its view has the nodes; what is news comes into the log.
-    pub fn sees(&mut self, view: &[SeenNode]) {
+    pub fn update_view(&mut self, view: &[SeenNode]) {
         if !self.leads() || self.saw.is_some_and(|at| self.ticks < at + QUIET) {
             return;
         }
@@ -248,22 +248,22 @@
     ///
     /// # Errors
     /// The voter stops.
-    pub fn work(&mut self) -> Result<Option<Work>, Stopped> {
+    pub fn work(&mut self) -> Result<Option<PendingWrite>, Stopped> {
         if self.under_way.is_some() || !self.raft.has_ready() {
             return Ok(None);
         }
         let mut ready = self.raft.ready();
         let first = ready.take_messages();
         let held = ready.take_persisted_messages();
-        let mut work = Work { first: self.addressed(first), ..Work::default() };
+        let mut work = PendingWrite { first: self.addressed(first), ..PendingWrite::default() };
         for entry in ready.entries() {
             work.log.push((entry.index, entry.write_to_bytes()?));
         }
-        work.vote = ready.hs().map(HardState::write_to_bytes).transpose()?;
+        work.hard_state = ready.hs().map(HardState::write_to_bytes).transpose()?;
         let mut store = self.raft.mut_store().wl();
         store.append(ready.entries())?;
-        if let Some(vote) = ready.hs() {
-            store.set_hardstate(vote.clone());
+        if let Some(hard_state) = ready.hs() {
+            store.set_hardstate(hard_state.clone());
         }
         drop(store);
         let committed = ready.take_committed_entries();
--- a/crates/agree/src/voter/tests.rs
+++ b/crates/agree/src/voter/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::state::Answer;
-use crate::{Most, Scope, Standing};
+use crate::{BudgetLimit, NodeStatus, Scope};
 
 /// A log and a vote.
 type Disk = (BTreeMap<u64, Vec<u8>>, Option<Vec<u8>>);
@@ -33,11 +33,11 @@
     }
 
     fn start(&mut self, name: &str) {
-        let (log, vote) = self.disks.entry(name.to_owned()).or_default().clone();
-        let kept = Kept { vote, log: log.into_values().collect() };
+        let (log, hard_state) = self.disks.entry(name.to_owned()).or_default().clone();
+        let persisted = PersistedState { hard_state, log: log.into_values().collect() };
         self.voters.insert(
             name.to_owned(),
-            Voter::new(name, &self.names, kept, u64::from(name.as_bytes()[0]), &quiet()).unwrap(),
+            Voter::new(name, &self.names, persisted, u64::from(name.as_bytes()[0]), &quiet()).unwrap(),
         );
     }
 
@@ -48,12 +48,12 @@
                 let mut sent = Vec::new();
                 for (name, voter) in &mut self.voters {
                     while let Some(work) = voter.work().unwrap() {
-                        let (log, vote) = self.disks.entry(name.clone()).or_default();
+                        let (log, hard_state) = self.disks.entry(name.clone()).or_default();
                         if let Some((first, _)) = work.log.first() {
                             log.split_off(first);
                         }
                         log.extend(work.log);
-                        *vote = work.vote.or(vote.take());
+                        *hard_state = work.hard_state.or(hard_state.take());
                         let more = work.first.into_iter().chain(voter.done());
                         sent.extend(more.map(|(to, bytes)| (name.clone(), to, bytes)));
                     }
@@ -80,7 +80,7 @@
 }
 
 fn serving(name: &str) -> SeenNode {
-    SeenNode { name: name.into(), zone: "z".into(), incarnation: 1, standing: Standing::Serving }
+    SeenNode { name: name.into(), zone: "z".into(), incarnation: 1, status: NodeStatus::Serving }
 }
 
 fn ask(node: &str, request: u128) -> Entry {
@@ -93,7 +93,7 @@
     three.run(100);
     let leader = three.leader().expect("a leader");
     let view = [serving("n1"), serving("n2"), serving("n3"), serving("n4")];
-    three.voters.get_mut(&leader).unwrap().sees(&view);
+    three.voters.get_mut(&leader).unwrap().update_view(&view);
     three.run(3);
     let follower = three.names.iter().find(|name| **name != leader).unwrap().clone();
     three.voters.get_mut(&follower).unwrap().propose(&ask("n1", 1));
@@ -102,7 +102,7 @@
     // The leader is cut off; what it is asked does not come into the log, whatever it believes.
     three.cut = vec![leader.clone()];
     let alone = three.voters.get_mut(&leader).unwrap();
-    alone.propose(&Entry::Budget(Scope::Fleet, Most::Number(9)));
+    alone.propose(&Entry::Budget(Scope::Fleet, BudgetLimit::Number(9)));
     alone.propose(&ask("n2", 2));
     three.run(100);
     assert_eq!(three.voters[&leader].state().answer(2), Answer::Unknown);
@@ -127,11 +127,11 @@
 fn a_torn_log_is_refused() {
     let mut three = Three::new();
     three.run(100);
-    let (mut log, vote) = three.disks["a"].clone();
+    let (mut log, hard_state) = three.disks["a"].clone();
     let last = *log.keys().last().unwrap();
     log.remove(&last);
-    let kept = Kept { vote, log: log.into_values().collect() };
-    assert!(Voter::new("a", &three.names, kept, 1, &quiet()).is_err());
+    let persisted = PersistedState { hard_state, log: log.into_values().collect() };
+    assert!(Voter::new("a", &three.names, persisted, 1, &quiet()).is_err());
 }
 
 /// A folder put back from an older copy: its voter has told more than it has.
@@ -142,7 +142,7 @@
     let leader = three.leader().expect("a leader");
     let other = three.names.iter().find(|name| **name != leader).unwrap().clone();
     let old = three.disks[&other].clone();
-    three.voters.get_mut(&leader).unwrap().sees(&[serving("n1")]);
+    three.voters.get_mut(&leader).unwrap().update_view(&[serving("n1")]);
     three.run(3);
     three.voters.get_mut(&leader).unwrap().propose(&ask("n1", 1));
     three.run(3);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -39,7 +39,7 @@
 
 use foca::{BroadcastHandler, Foca, Invalidates, Notification, PostcardCodec, Timer};
 use health::{Health, STALL_MS};
-use hopmoor_seal::{Keys, Kind, NONCE_BYTES, Unsealed};
+use hopmoor_seal::{Keys, Kind, NONCE_BYTES, UnsealError};
 use node_info::{InfoRecord, InfoTable};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -703,12 +703,12 @@
     }
 }
 
-impl From<Unsealed> for Refused {
-    fn from(why: Unsealed) -> Refused {
+impl From<UnsealError> for Refused {
+    fn from(why: UnsealError) -> Refused {
         match why {
-            Unsealed::Malformed => Refused::Malformed,
-            Unsealed::UnknownKey => Refused::UnknownKey,
-            Unsealed::Forged => Refused::Forged,
+            UnsealError::Malformed => Refused::Malformed,
+            UnsealError::UnknownKey => Refused::UnknownKey,
+            UnsealError::Forged => Refused::Forged,
         }
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -10,7 +10,7 @@
 /// Most bytes of a frame: 4,096 nodes with the longest names and info records, some 700 bytes each.
 pub const MAX_FRAME_BYTES: usize = 3 << 20;
 /// Most bytes of `foca`'s part of a datagram: what the seal, the sequence number and the message type leave.
-pub(crate) const MAX_GOSSIP_BYTES: usize = MAX_DATAGRAM_BYTES - hopmoor_seal::OVERHEAD - 11;
+pub(crate) const MAX_GOSSIP_BYTES: usize = MAX_DATAGRAM_BYTES - hopmoor_seal::OVERHEAD_BYTES - 11;
 
 /// A datagram's message: one of `foca`'s, or one of the messages added here.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/incident/src/wants.rs
+++ b/crates/incident/src/accounting.rs
@@ -13,7 +13,7 @@
 //! heard of again. Part of them would have ended in that time anyway (the usual absence over the usual life); each
 //! that goes beyond that part is taken to have wanted a usual life more.
 
-use crate::curve::{Curve, Scale};
+use crate::series::{Curve, Scale};
 use hopmoor_record::{ArrivalKind, MemberId, Origin};
 use std::collections::BTreeMap;
 
@@ -118,7 +118,7 @@
 struct Standing {
     open: u32,
     since: f64,
-    curve: Curve,
+    series: Curve,
 }
 
 /// Lost worth by class, for a cause.
@@ -133,7 +133,7 @@
     /// The steps of all curves.
     pub scale: Scale,
     worths: Vec<f64>,
-    wants: BTreeMap<(Origin, u64), Want>,
+    accounting: BTreeMap<(Origin, u64), Want>,
     away: BTreeMap<Kind, Vec<Away>>,
     purge_at: f64,
     never: BTreeMap<(How, Cause, u32, u32), Curve>,
@@ -148,7 +148,7 @@
 
 /// What the ledger holds in the end.
 #[derive(Debug, Default)]
-pub struct Account {
+pub struct ServiceTotals {
     /// Worth asked for over time.
     pub asked: Curve,
     /// Worth lost over time, by cause and class.
@@ -167,7 +167,7 @@
         Ledger {
             scale: Scale::new(from, 1_000.0),
             worths: Vec::new(),
-            wants: BTreeMap::new(),
+            accounting: BTreeMap::new(),
             away: BTreeMap::new(),
             purge_at: from,
             never: BTreeMap::new(),
@@ -195,9 +195,9 @@
         let doubled = self.scale.reach(at);
         if doubled > 0 {
             self.asked.double(doubled);
-            self.lost.values_mut().for_each(|curve| curve.double(doubled));
-            self.never.values_mut().for_each(|curve| curve.double(doubled));
-            self.standing.values_mut().for_each(|standing| standing.curve.double(doubled));
+            self.lost.values_mut().for_each(|series| series.double(doubled));
+            self.never.values_mut().for_each(|series| series.double(doubled));
+            self.standing.values_mut().for_each(|standing| standing.series.double(doubled));
         }
         doubled
     }
@@ -222,7 +222,7 @@
     fn stand(&mut self, member: MemberId, class: u32, at: f64, by: i32) {
         let rate = self.worth(class) / 1_000.0;
         let standing = self.standing.entry((member, class)).or_default();
-        standing.curve.spread(&self.scale, standing.since, at, rate * f64::from(standing.open));
+        standing.series.spread(&self.scale, standing.since, at, rate * f64::from(standing.open));
         standing.open = standing.open.saturating_add_signed(by);
         standing.since = at;
     }
@@ -264,19 +264,19 @@
             returns.came += 1;
             returns.absence += at - away.since;
         }
-        self.wants.insert((origin, id), want);
+        self.accounting.insert((origin, id), want);
     }
 
     /// An attempt for it has failed.
     pub fn hindered(&mut self, origin: Origin, id: u64, at: f64, cause: Cause) {
-        if let Some(mut want) = self.wants.remove(&(origin, id)) {
+        if let Some(mut want) = self.accounting.remove(&(origin, id)) {
             if want.at == At::Asking {
                 // What it has waited so far is this attempt's doing.
                 want.cause = cause;
                 self.settle(&mut want, at);
                 want.doubtful = false;
             }
-            self.wants.insert((origin, id), want);
+            self.accounting.insert((origin, id), want);
         }
     }
 
@@ -285,7 +285,7 @@
     /// Returns whether it had to wait for longer than a set-up takes though no member was at fault.
     pub fn stands(&mut self, origin: Origin, id: u64, at: f64, member: MemberId) -> bool {
         let mut queued = false;
-        if let Some(mut want) = self.wants.remove(&(origin, id)) {
+        if let Some(mut want) = self.accounting.remove(&(origin, id)) {
             if want.cause == Cause::SetUp && at - want.since > SET_UP_MS {
                 want.cause = Cause::Room;
             }
@@ -293,26 +293,26 @@
             self.settle(&mut want, at);
             (want.at, want.since, want.doubtful) = (At::Standing(member), at, false);
             self.stand(member, want.class, at, 1);
-            self.wants.insert((origin, id), want);
+            self.accounting.insert((origin, id), want);
         }
         queued
     }
 
     /// A want whose beginning was lost with other records is known from now on.
     pub fn known(&mut self, origin: Origin, id: u64, asked: f64, class: u32, tenant: u32) {
-        if !self.wants.contains_key(&(origin, id)) {
+        if !self.accounting.contains_key(&(origin, id)) {
             self.asked(origin, id, asked, class, tenant, ArrivalKind::First);
         }
     }
 
     fn take(&mut self, origin: Origin, id: u64, at: f64) -> Option<Want> {
-        let mut want = self.wants.remove(&(origin, id))?;
+        let mut want = self.accounting.remove(&(origin, id))?;
         if let At::Standing(member) = want.at {
             if want.doubtful {
                 // It has stood all the while after all.
                 let rate = self.worth(want.class) / 1_000.0;
                 let standing = self.standing.entry((member, want.class)).or_default();
-                standing.curve.spread(&self.scale, want.settled, at, rate);
+                standing.series.spread(&self.scale, want.settled, at, rate);
             } else {
                 self.stand(member, want.class, at, -1);
             }
@@ -340,7 +340,8 @@
     /// that of the wait before.
     pub fn went(&mut self, origin: Origin, id: u64, at: f64, cause: Option<Cause>) {
         if cause.is_none()
-            && let Some(want) = self.wants.get_mut(&(origin, id)).filter(|want| want.cause == Cause::SetUp)
+            && let Some(want) =
+                self.accounting.get_mut(&(origin, id)).filter(|want| want.cause == Cause::SetUp)
         {
             want.cause = Cause::Room;
         }
@@ -366,8 +367,8 @@
 
     fn stays_away(&mut self, (how, class, tenant): Kind, away: Away) {
         if !away.unknown {
-            let curve = self.never.entry((how, away.cause, class, tenant)).or_default();
-            curve.count(&self.scale, away.since, 1.0);
+            let series = self.never.entry((how, away.cause, class, tenant)).or_default();
+            series.count(&self.scale, away.since, 1.0);
         }
     }
 
@@ -386,9 +387,9 @@
 
     /// Records of a node were lost from `since` on: what its clients did after that is not known.
     pub fn doubt(&mut self, origin: Origin, since: f64) {
-        let ids: Vec<_> = self.wants.keys().filter(|(of, _)| *of == origin).copied().collect();
+        let ids: Vec<_> = self.accounting.keys().filter(|(of, _)| *of == origin).copied().collect();
         for key in ids {
-            let Some(mut want) = self.wants.remove(&key) else { continue };
+            let Some(mut want) = self.accounting.remove(&key) else { continue };
             match want.at {
                 _ if want.doubtful => {}
                 // Its answer may have been lost: without another word it must not seem to wait for ever.
@@ -402,17 +403,17 @@
                     want.doubtful = true;
                 }
             }
-            self.wants.insert(key, want);
+            self.accounting.insert(key, want);
         }
     }
 
     /// A node's run is over. What stood there is away; whether it came again elsewhere, other records tell.
     pub fn run_over(&mut self, origin: Origin, at: f64, cause: Cause) {
-        let ids: Vec<_> = self.wants.keys().filter(|(of, _)| *of == origin).copied().collect();
+        let ids: Vec<_> = self.accounting.keys().filter(|(of, _)| *of == origin).copied().collect();
         for (origin, id) in ids {
-            let doubtful = self.wants.get(&(origin, id)).is_some_and(|want| want.doubtful);
+            let doubtful = self.accounting.get(&(origin, id)).is_some_and(|want| want.doubtful);
             if doubtful {
-                self.wants.remove(&(origin, id));
+                self.accounting.remove(&(origin, id));
             } else if let Some(want) = self.take(origin, id, at) {
                 self.goes(want, at, How::Broken, Some(cause), true);
             }
@@ -420,10 +421,10 @@
     }
 
     /// Closes the account at the last record's time, and estimates what can only be estimated.
-    pub fn finish(mut self, at: f64) -> Account {
-        let ids: Vec<_> = self.wants.keys().copied().collect();
+    pub fn finish(mut self, at: f64) -> ServiceTotals {
+        let ids: Vec<_> = self.accounting.keys().copied().collect();
         for (origin, id) in ids {
-            if !self.wants.get(&(origin, id)).is_some_and(|want| want.doubtful) {
+            if !self.accounting.get(&(origin, id)).is_some_and(|want| want.doubtful) {
                 self.take(origin, id, at);
             }
         }
@@ -438,7 +439,7 @@
                 }
             }
         }
-        for ((how, cause, class, tenant), curve) in std::mem::take(&mut self.never) {
+        for ((how, cause, class, tenant), series) in std::mem::take(&mut self.never) {
             let returns = self.returns.get(&(how, class)).copied().unwrap_or_default();
             // Where many went and nobody ever came, clients set no mark: nothing can be said of them.
             if returns.came == 0 && returns.went >= UNMARKED {
@@ -454,7 +455,7 @@
             // They are put where they went away, and as long after it as each is taken to have wanted; nothing after
             // the last record.
             let mut lost = 0.0;
-            let steps = curve.values(crate::curve::MOST, 1.0);
+            let steps = series.values(crate::series::MOST, 1.0);
             for (place, count) in steps.iter().enumerate().filter(|(_, count)| **count > 0.0) {
                 let from = self.scale.from + place as f64 * self.scale.step;
                 let (until, rate) = ((from + each).min(at), f64::from(*count) * rate);
@@ -467,9 +468,9 @@
                 sums.1 += lost;
             }
         }
-        let standing = self.standing.into_iter().map(|(key, standing)| (key, standing.curve)).collect();
+        let standing = self.standing.into_iter().map(|(key, standing)| (key, standing.series)).collect();
         let (by_class, by_tenant) = (self.by_class, self.by_tenant);
-        Account { asked: self.asked, lost: self.lost, by_class, by_tenant, standing }
+        ServiceTotals { asked: self.asked, lost: self.lost, by_class, by_tenant, standing }
     }
 }
 
--- a/crates/incident/src/wants/tests.rs
+++ b/crates/incident/src/accounting/tests.rs
@@ -3,7 +3,7 @@
 const HERE: Origin = Origin(0);
 const S: MemberId = MemberId(3);
 
-fn lost(account: &Account) -> f64 {
+fn lost(account: &ServiceTotals) -> f64 {
     account.lost.values().map(Curve::sum).sum()
 }
 
--- a/crates/incident/src/analysis.rs
+++ b/crates/incident/src/analysis.rs
@@ -1,21 +1,21 @@
 //! Feeds records to members' tracks and to the ledger, and draws up the findings.
 
-mod drawn;
+mod summary;
 
-pub use drawn::in_order;
-use drawn::names;
+use summary::names;
+pub use summary::natural_order;
 
-use crate::curve::{Curve, MOST, Scale};
+use crate::accounting::{self, Cause, Ledger, Why};
+use crate::dead_peers::Neighbours;
 use crate::findings::{
-    Account, Budget, Curves, Doubt, Findings, Gap, Incident, IncidentKind, Member, Node, Run, RunEnd,
-    Service, Span, State,
+    Budget, Curves, Doubt, Findings, Gap, Incident, IncidentKind, Member, MemberState, Node, Run, RunEnd,
+    Service, ServiceTotals, Span,
 };
-use crate::fleet::Neighbours;
 use crate::member::Track;
-use crate::wants::{self, Cause, Ledger, Why};
+use crate::series::{Curve, MOST, Scale};
 use hopmoor_record::codec::Site;
 use hopmoor_record::merge::Step;
-use hopmoor_record::{Answer, Damage, Event, Header, MemberId, Merged, Origin, Outcome, Reason, Record};
+use hopmoor_record::{Answer, Damage, Event, Header, MemberId, Merged, MoveReason, Origin, Outcome, Record};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -173,7 +173,7 @@
                     self.ledger.doubt(origin, at);
                 }
             }
-            Step::Shifted(by) => {
+            Step::ClockShifted(by) => {
                 let what = format!(
                     "its clock reads {:.1} s earlier than before; what follows is shown so much later",
                     by / 1_000.0
@@ -181,8 +181,8 @@
                 self.doubt(origin, at, what);
             }
             // Whether the node ran again, a later step tells.
-            Step::Over => self.run_over(origin, at, RunEnd::RecordsEnd),
-            Step::End => {}
+            Step::RunEnded => self.run_over(origin, at, RunEnd::RecordsEnd),
+            Step::FolderEnded => {}
         }
     }
 
@@ -241,7 +241,7 @@
             let mut curves: Vec<&mut Curve> = vec![&mut self.arrivals, &mut self.moved];
             curves.extend(self.turned_away.values_mut());
             curves.extend(self.budgets.values_mut().flatten());
-            curves.into_iter().for_each(|curve| curve.double(doubled));
+            curves.into_iter().for_each(|series| series.double(doubled));
         }
         let scale = self.ledger.scale;
         let source = self.source(origin);
@@ -301,12 +301,12 @@
                     self.tenants.entry(tenant).or_default().moved += 1;
                 }
                 let cause = match moved.reason {
-                    Reason::Draining | Reason::Member | Reason::Negotiation => {
+                    MoveReason::Draining | MoveReason::Member | MoveReason::Negotiation => {
                         Cause::Member(moved.member, Why::Drained)
                     }
-                    Reason::Gone => Cause::Member(moved.member, Why::Gone),
-                    Reason::Relief => Cause::Member(moved.member, Why::Relief),
-                    Reason::Leaving => Cause::NodeLeft(origin),
+                    MoveReason::Gone => Cause::Member(moved.member, Why::Gone),
+                    MoveReason::Relief => Cause::Member(moved.member, Why::Relief),
+                    MoveReason::Leaving => Cause::NodeLeft(origin),
                 };
                 self.ledger.went(origin, moved.transaction, at, Some(cause));
             }
@@ -315,8 +315,8 @@
                 let last = source.tenants.insert(tenant.tenant, now);
                 if let Some((since, budget, open, queued)) = last {
                     let curves = self.budgets.entry(tenant.tenant).or_default();
-                    for (curve, value) in curves.iter_mut().zip([budget, open, queued]) {
-                        curve.spread(&scale, since, at, value);
+                    for (series, value) in curves.iter_mut().zip([budget, open, queued]) {
+                        series.spread(&scale, since, at, value);
                     }
                 }
             }
--- a/crates/incident/src/analysis/drawn.rs
+++ b/crates/incident/src/analysis/summary.rs
@@ -29,26 +29,26 @@
     }
 
     /// What stood at members while they were silent or slow was lost.
-    pub(super) fn late_at_members(&self, scale: &Scale, account: &mut wants::Account) {
+    pub(super) fn late_at_members(&self, scale: &Scale, account: &mut accounting::ServiceTotals) {
         for (id, track) in &self.tracks {
             let mut slowness = track.slowness.iter();
             let mut covered: Vec<(f64, f64)> = Vec::new();
             for span in track.spans() {
                 let (why, late) = match span.state {
-                    State::Silent => (Why::Silent, f64::INFINITY),
-                    State::Slow => (Why::Slow, slowness.next().copied().unwrap_or(f64::INFINITY)),
+                    MemberState::Silent => (Why::Silent, f64::INFINITY),
+                    MemberState::Slow => (Why::Slow, slowness.next().copied().unwrap_or(f64::INFINITY)),
                     _ => continue,
                 };
                 let until = span.until.unwrap_or(self.until);
                 for (place, class) in self.site.classes.iter().enumerate() {
-                    let hit = span.state == State::Silent
+                    let hit = span.state == MemberState::Silent
                         || class.message_aim_ms > 0.0 && late > class.message_aim_ms;
-                    let Some(curve) = account.standing.get(&(*id, place as u32)).filter(|_| hit) else {
+                    let Some(series) = account.standing.get(&(*id, place as u32)).filter(|_| hit) else {
                         continue;
                     };
                     // Seconds in which it was both count once, for what was seen first.
                     for (from, until) in uncovered(&covered, span.from, until) {
-                        let worth = curve.between(scale, from, until);
+                        let worth = series.between(scale, from, until);
                         let rate = worth / (until - from).max(1e-9);
                         let key = (Cause::Member(*id, why), place as u32);
                         account.lost.entry(key).or_default().spread(scale, from, until, rate);
@@ -89,7 +89,7 @@
             by_class: Vec::new(),
         };
         for (id, track) in &self.tracks {
-            for span in track.spans().iter().filter(|span| span.state != State::Avoided) {
+            for span in track.spans().iter().filter(|span| span.state != MemberState::Avoided) {
                 let cause = describe(&track.name, span, self.until);
                 let kind = IncidentKind::Member(span.state);
                 all.push((Some(*id), None, blank(kind, track.name.clone(), span.from, span.until, cause)));
@@ -176,13 +176,13 @@
         &self,
         scale: &Scale,
         incidents: &mut [(Option<MemberId>, Option<Origin>, Incident)],
-        account: &mut wants::Account,
+        account: &mut accounting::ServiceTotals,
     ) -> f64 {
         let classes = self.site.classes.len();
         incidents.iter_mut().for_each(|(_, _, incident)| incident.by_class = vec![0.0; classes]);
         let mut unexplained = 0.0;
-        for ((cause, class), curve) in &account.lost {
-            let mut left = curve.values(MOST, 1.0);
+        for ((cause, class), series) in &account.lost {
+            let mut left = series.values(MOST, 1.0);
             for kind in kinds(*cause) {
                 for (member, origin, incident) in incidents.iter_mut() {
                     let fits = incident.kind == *kind
@@ -218,7 +218,7 @@
         self,
         scale: &Scale,
         incidents: Vec<(Option<MemberId>, Option<Origin>, Incident)>,
-        account: wants::Account,
+        account: accounting::ServiceTotals,
         unexplained: f64,
     ) -> Findings {
         let steps = (((self.until - self.from) / scale.step).ceil() as usize).clamp(1, MOST);
@@ -226,12 +226,12 @@
         let asked_sum = account.asked.sum();
         let mut lost_all = vec![0.0f64; steps];
         let mut at_member: BTreeMap<MemberId, f64> = BTreeMap::new();
-        for ((cause, _), curve) in &account.lost {
-            for (sum, value) in lost_all.iter_mut().zip(curve.values(steps, 1.0)) {
+        for ((cause, _), series) in &account.lost {
+            for (sum, value) in lost_all.iter_mut().zip(series.values(steps, 1.0)) {
                 *sum += f64::from(value);
             }
             if let Cause::Member(id, _) = cause {
-                *at_member.entry(*id).or_default() += curve.sum();
+                *at_member.entry(*id).or_default() += series.sum();
             }
         }
         let asked = account.asked.values(steps, per_second);
@@ -248,9 +248,9 @@
         };
         let members = self.tracks.iter().map(|(id, track)| {
             let mut standing = Curve::default();
-            for ((member, _), curve) in account.standing.range((*id, 0)..=(*id, u32::MAX)) {
+            for ((member, _), series) in account.standing.range((*id, 0)..=(*id, u32::MAX)) {
                 debug_assert_eq!(member, id);
-                for (place, value) in curve.values(steps, per_second).iter().enumerate() {
+                for (place, value) in series.values(steps, per_second).iter().enumerate() {
                     standing.count(scale, scale.from + (place as f64 + 0.5) * scale.step, f64::from(*value));
                 }
             }
@@ -266,9 +266,9 @@
             }
         });
         let mut members: Vec<Member> = members.collect();
-        members.sort_by(|a, b| in_order(&a.name, &b.name));
+        members.sort_by(|a, b| natural_order(&a.name, &b.name));
         let rows = |counts: &BTreeMap<u32, Counts>,
-                    sums: &wants::Sums,
+                    sums: &accounting::Sums,
                     names: &dyn Fn(u32) -> String,
                     all: usize| {
             let most = counts.keys().chain(sums.keys()).max().map_or(0, |most| *most as usize + 1).max(all);
@@ -276,7 +276,7 @@
                 let at = at as u32;
                 let counts = counts.get(&at).cloned().unwrap_or_default();
                 let (asked, lost) = sums.get(&at).copied().unwrap_or_default();
-                Account {
+                ServiceTotals {
                     name: names(at),
                     transactions: counts.transactions,
                     served: counts.served,
@@ -301,7 +301,7 @@
             self.site.tenants.len(),
         );
         let budgets = self.budgets.iter().map(|(tenant, [budget, open, queued])| {
-            let mean = |curve: &Curve| curve.values(steps, 1.0 / scale.step);
+            let mean = |series: &Curve| series.values(steps, 1.0 / scale.step);
             Budget {
                 name: self.tenant_name(*tenant),
                 budget: mean(budget),
@@ -311,7 +311,7 @@
         });
         let turned_away =
             (0..self.site.classes.len() as u32).map(|class| match self.turned_away.get(&class) {
-                Some(curve) => curve.values(steps, 1.0),
+                Some(series) => series.values(steps, 1.0),
                 None => vec![0.0; steps],
             });
         let curves = Curves {
@@ -372,7 +372,7 @@
 /// Which incidents can explain a loss of this cause, the likeliest first.
 fn kinds(cause: Cause) -> &'static [IncidentKind] {
     use IncidentKind::{Member, NoRoom, NodeCut, NodeLeft};
-    use State::{Dead, Draining, Gone, Refusing, Silent, Slow};
+    use MemberState::{Dead, Draining, Gone, Refusing, Silent, Slow};
     match cause {
         Cause::SetUp => &[],
         Cause::Room => &[NoRoom],
@@ -408,21 +408,23 @@
     };
     let seen = span.evidence;
     match span.state {
-        State::Silent => {
+        MemberState::Silent => {
             format!("member {name} was sent work and answered nothing, {long} (seen {seen} times)")
         }
-        State::Dead => format!("member {name} broke off or could not be reached, {long} (seen {seen} times)"),
-        State::Refusing => format!("member {name} turned work away, {long} (seen {seen} times)"),
-        State::Slow => format!("messages at member {name} were late, {long} (told {seen} times)"),
-        State::Draining => format!("member {name} was draining, {long}"),
-        State::Gone => format!("member {name} was not listed, {long}"),
-        State::Cold => format!("member {name} had just started, {long}"),
-        State::Avoided => format!("member {name} was avoided, {long}"),
+        MemberState::Dead => {
+            format!("member {name} broke off or could not be reached, {long} (seen {seen} times)")
+        }
+        MemberState::Refusing => format!("member {name} turned work away, {long} (seen {seen} times)"),
+        MemberState::Slow => format!("messages at member {name} were late, {long} (told {seen} times)"),
+        MemberState::Draining => format!("member {name} was draining, {long}"),
+        MemberState::Gone => format!("member {name} was not listed, {long}"),
+        MemberState::Cold => format!("member {name} had just started, {long}"),
+        MemberState::Avoided => format!("member {name} was avoided, {long}"),
     }
 }
 
 /// Names with numbers in them are put in the order of the numbers.
-pub fn in_order(a: &str, b: &str) -> std::cmp::Ordering {
+pub fn natural_order(a: &str, b: &str) -> std::cmp::Ordering {
     let key = |name: &str| {
         let digits = name.len() - name.trim_end_matches(|c: char| c.is_ascii_digit()).len();
         let (stem, number) = name.split_at(name.len() - digits);
--- a/crates/incident/src/board.rs
+++ b/crates/incident/src/dashboard.rs
@@ -1,10 +1,10 @@
 //! How things stand at one moment: what a console shows. Fed the same steps as the analysis.
 
-use crate::findings::State;
+use crate::findings::MemberState;
 use crate::member::Track;
 use hopmoor_record::codec::Site;
 use hopmoor_record::merge::Step;
-use hopmoor_record::{Answer, Event, MemberId, NeighbourState, Origin, Outcome, Phase, Reason, Record};
+use hopmoor_record::{Answer, Event, MemberId, MoveReason, NeighbourState, Origin, Outcome, Phase, Record};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Lines of events that are kept.
@@ -14,7 +14,7 @@
 
 /// How a second went at a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Second {
+pub struct SecondCounts {
     /// Attempts served.
     pub served: u16,
     /// Attempts that failed, and connections that broke.
@@ -50,17 +50,24 @@
     /// As each node sees it.
     pub seen: BTreeMap<Origin, Seen>,
     /// How its last seconds went, the newest last.
-    pub seconds: VecDeque<Second>,
+    pub seconds: VecDeque<SecondCounts>,
     second: f64,
 }
 
 impl Row {
     /// What it is called to be in, the gravest first.
     pub fn state(&self) -> &'static str {
-        let grave = [State::Dead, State::Silent, State::Refusing, State::Slow, State::Cold, State::Avoided];
+        let grave = [
+            MemberState::Dead,
+            MemberState::Silent,
+            MemberState::Refusing,
+            MemberState::Slow,
+            MemberState::Cold,
+            MemberState::Avoided,
+        ];
         match self.phase {
             Some(Phase::Gone) => "gone",
-            Some(Phase::Draining) if self.track.is(State::Silent) => "silent, draining",
+            Some(Phase::Draining) if self.track.is(MemberState::Silent) => "silent, draining",
             Some(Phase::Draining) => "draining",
             _ => grave.iter().find(|state| self.track.is(**state)).map_or("serving", |state| state.word()),
         }
@@ -78,27 +85,27 @@
     }
 
     /// Its last seconds up to now, the newest last.
-    pub fn recent(&self, now: f64, most: usize) -> Vec<Second> {
+    pub fn recent(&self, now: f64, most: usize) -> Vec<SecondCounts> {
         let since = ((now / 1_000.0).floor() - self.second).clamp(0.0, SECONDS as f64) as usize;
         let since = if self.seconds.is_empty() { 0 } else { since };
-        let all = self.seconds.iter().copied().chain(std::iter::repeat_n(Second::default(), since));
+        let all = self.seconds.iter().copied().chain(std::iter::repeat_n(SecondCounts::default(), since));
         let skip = (self.seconds.len() + since).saturating_sub(most);
         all.skip(skip).collect()
     }
 
-    fn second(&mut self, at: f64) -> &mut Second {
+    fn second(&mut self, at: f64) -> &mut SecondCounts {
         let second = (at / 1_000.0).floor();
         let passed =
             if self.seconds.is_empty() { 1.0 } else { (second - self.second).clamp(0.0, SECONDS as f64) };
         for _ in 0..passed as usize {
-            self.seconds.push_back(Second::default());
+            self.seconds.push_back(SecondCounts::default());
             if self.seconds.len() > SECONDS {
                 self.seconds.pop_front();
             }
         }
         self.second = self.second.max(second);
         if self.seconds.is_empty() {
-            self.seconds.push_back(Second::default());
+            self.seconds.push_back(SecondCounts::default());
         }
         let last = self.seconds.len() - 1;
         &mut self.seconds[last]
@@ -122,7 +129,7 @@
 
 /// A line among the events.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct EventLine {
     /// When.
     pub at: f64,
     /// Whose.
@@ -151,7 +158,7 @@
 
 /// The board.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Dashboard {
     /// The newest record's time.
     pub now: f64,
     /// Classes, tenants and zones.
@@ -161,13 +168,13 @@
     /// Members.
     pub members: BTreeMap<MemberId, Row>,
     /// Events, oldest first.
-    pub lines: VecDeque<Line>,
+    pub lines: VecDeque<EventLine>,
     shares: BTreeMap<(u32, Origin), Share>,
     aim_ms: f64,
     served: VecDeque<(f64, f64, f64)>,
 }
 
-impl Board {
+impl Dashboard {
     /// Takes one step.
     pub fn feed(&mut self, origin: Origin, at: f64, step: &Step) {
         if self.nodes.len() <= origin.0 {
@@ -197,11 +204,11 @@
                     path.file_name().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
                 self.line(origin, at, "doubt", format!("{file}: {damage}"), true);
             }
-            Step::Shifted(by) => {
+            Step::ClockShifted(by) => {
                 let text = format!("clock set back by {:.1} s", by / 1_000.0);
                 self.line(origin, at, "doubt", text, true);
             }
-            Step::Over | Step::End => {}
+            Step::RunEnded | Step::FolderEnded => {}
         }
         self.now = self.now.max(at);
     }
@@ -217,7 +224,7 @@
 
     fn line(&mut self, origin: Origin, at: f64, kind: &'static str, text: String, bad: bool) {
         let node = self.nodes.get(origin.0).map_or_else(String::new, |node| node.name.clone());
-        self.lines.push_back(Line { at, node, kind, text, bad });
+        self.lines.push_back(EventLine { at, node, kind, text, bad });
         if self.lines.len() > MOST_LINES {
             self.lines.pop_front();
         }
@@ -248,7 +255,7 @@
     /// Members in the order of their names.
     pub fn rows(&self) -> Vec<&Row> {
         let mut rows: Vec<&Row> = self.members.values().collect();
-        rows.sort_by(|a, b| crate::analysis::in_order(&a.name, &b.name));
+        rows.sort_by(|a, b| crate::analysis::natural_order(&a.name, &b.name));
         rows
     }
 
@@ -370,12 +377,12 @@
             }
             Event::Moved(moved) => {
                 let why = match moved.reason {
-                    Reason::Draining => "it drains",
-                    Reason::Gone => "it is gone",
-                    Reason::Leaving => "the node leaves",
-                    Reason::Relief => "for relief",
-                    Reason::Member => "by the member itself",
-                    Reason::Negotiation => "before it stood",
+                    MoveReason::Draining => "it drains",
+                    MoveReason::Gone => "it is gone",
+                    MoveReason::Leaving => "the node leaves",
+                    MoveReason::Relief => "for relief",
+                    MoveReason::Member => "by the member itself",
+                    MoveReason::Negotiation => "before it stood",
                 };
                 let text = format!("client moved from {}: {why}", self.named(moved.member));
                 self.line(origin, at, "move", text, false);
--- a/crates/incident/src/findings.rs
+++ b/crates/incident/src/findings.rs
@@ -15,9 +15,9 @@
     /// Totals.
     pub service: Service,
     /// What the clients of each class asked and got.
-    pub classes: Vec<Account>,
+    pub classes: Vec<ServiceTotals>,
     /// What the clients of each tenant asked and got.
-    pub tenants: Vec<Account>,
+    pub tenants: Vec<ServiceTotals>,
     /// Budgets, limits and use of each tenant over time, summed over the nodes.
     pub budgets: Vec<Budget>,
     /// The nodes, in the order in which their records were given.
@@ -49,7 +49,7 @@
 
 /// What a class or a tenant asked and got.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Account {
+pub struct ServiceTotals {
     /// Its name.
     pub name: String,
     /// Transactions.
@@ -165,7 +165,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Span {
     /// What.
-    pub state: State,
+    pub state: MemberState,
     /// From when.
     pub from: f64,
     /// Until when; none if it had not ended when the records did.
@@ -177,7 +177,7 @@
 /// What can be the matter with a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum MemberState {
     /// It was sent work and answered nothing.
     Silent,
     /// Its process ended: connections there broke at once, or none can be made.
@@ -196,24 +196,24 @@
     Avoided,
 }
 
-impl State {
+impl MemberState {
     /// A word for it.
     pub fn word(self) -> &'static str {
         match self {
-            State::Silent => "silent",
-            State::Dead => "dead",
-            State::Refusing => "refusing",
-            State::Slow => "slow",
-            State::Draining => "draining",
-            State::Gone => "gone",
-            State::Cold => "cold",
-            State::Avoided => "avoided",
+            MemberState::Silent => "silent",
+            MemberState::Dead => "dead",
+            MemberState::Refusing => "refusing",
+            MemberState::Slow => "slow",
+            MemberState::Draining => "draining",
+            MemberState::Gone => "gone",
+            MemberState::Cold => "cold",
+            MemberState::Avoided => "avoided",
         }
     }
 
     /// Whether it is a trouble, or the ordinary course of things.
-    pub fn is_trouble(self) -> bool {
-        matches!(self, State::Silent | State::Dead | State::Refusing | State::Slow)
+    pub fn is_fault(self) -> bool {
+        matches!(self, MemberState::Silent | MemberState::Dead | MemberState::Refusing | MemberState::Slow)
     }
 }
 
@@ -245,7 +245,7 @@
 #[serde(rename_all = "snake_case", tag = "kind", content = "state")]
 pub enum IncidentKind {
     /// Something about a member.
-    Member(State),
+    Member(MemberState),
     /// A node was told to end.
     NodeLeft,
     /// A node's records end without a word.
--- a/crates/incident/src/lib.rs
+++ b/crates/incident/src/lib.rs
@@ -4,21 +4,21 @@
 //! [`Findings`] come out. `docs/records.md` defines the words used, above all the share of service lost.
 //!
 //! - [`member`]: what is wrong with a member, from what nodes saw of it.
-//! - [`wants`]: who wanted a connection when, and who had one: the share of service lost.
-//! - [`curve`]: figures over time, at a resolution that stays within bounds.
-//! - `fleet`: nodes that others held dead.
-//! - [`board`]: how things stand at one moment, for a console.
+//! - [`accounting`]: who wanted a connection when, and who had one: the share of service lost.
+//! - [`series`]: figures over time, at a resolution that stays within bounds.
+//! - `dead_peers`: nodes that others held dead.
+//! - [`dashboard`]: how things stand at one moment, for a console.
 //! - [`analysis`]: all of them fed together, and the findings drawn up.
 
+pub mod accounting;
 pub mod analysis;
-pub mod board;
-pub mod curve;
+pub mod dashboard;
 pub mod member;
-pub mod wants;
+pub mod series;
 
+mod dead_peers;
 mod findings;
-mod fleet;
 
 pub use analysis::{Analysis, analyse};
-pub use board::Board;
+pub use dashboard::Dashboard;
 pub use findings::*;
--- a/crates/incident/src/member.rs
+++ b/crates/incident/src/member.rs
@@ -13,7 +13,7 @@
 //! - *cold*: from its start until a node holds it for warm.
 //! - *avoided*: while a node sends it nothing new for its failures.
 
-use crate::findings::{Span, State};
+use crate::findings::{MemberState, Span};
 use hopmoor_record::{Origin, Outcome, Phase};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -91,11 +91,11 @@
     }
 
     /// Whether it is in a state now.
-    pub fn is(&self, state: State) -> bool {
+    pub fn is(&self, state: MemberState) -> bool {
         self.spans.iter().rev().any(|span| span.state == state && span.until.is_none())
     }
 
-    fn open(&mut self, state: State, from: f64, evidence: u64) {
+    fn open(&mut self, state: MemberState, from: f64, evidence: u64) {
         if let Some(open) =
             self.spans.iter_mut().rev().find(|span| span.state == state && span.until.is_none())
         {
@@ -111,7 +111,7 @@
         self.spans.push(Span { state, from, until: None, evidence });
     }
 
-    fn close(&mut self, state: State, at: f64) {
+    fn close(&mut self, state: MemberState, at: f64) {
         if let Some(open) =
             self.spans.iter_mut().rev().find(|span| span.state == state && span.until.is_none())
         {
@@ -121,7 +121,7 @@
 
     /// Its process is another from now on: what its predecessor did is over.
     fn fresh(&mut self, at: f64) {
-        for state in [State::Silent, State::Dead, State::Refusing, State::Slow] {
+        for state in [MemberState::Silent, MemberState::Dead, MemberState::Refusing, MemberState::Slow] {
             self.close(state, at);
         }
         (self.mute, self.broke, self.refused, self.slow) = Default::default();
@@ -144,7 +144,7 @@
             }
             self.born = born;
             self.fresh(started);
-            for state in [State::Draining, State::Gone] {
+            for state in [MemberState::Draining, MemberState::Gone] {
                 self.close(state, started);
             }
             self.phase = Some(phase);
@@ -153,7 +153,7 @@
         if self.phase.is_none() {
             (self.phase, self.born) = (Some(phase), born);
             if phase == Phase::Draining {
-                self.open(State::Draining, at, 1);
+                self.open(MemberState::Draining, at, 1);
             }
             return;
         }
@@ -164,16 +164,16 @@
             // A node that has just begun may go by an older list.
             Phase::Serving if heard.is_none() => return,
             Phase::Serving => {
-                self.close(State::Draining, at);
-                self.close(State::Gone, at);
+                self.close(MemberState::Draining, at);
+                self.close(MemberState::Gone, at);
             }
             Phase::Draining if self.phase == Some(Phase::Gone) => return,
-            Phase::Draining => self.open(State::Draining, at, 1),
+            Phase::Draining => self.open(MemberState::Draining, at, 1),
             Phase::Gone => {
                 self.fresh(at);
-                self.close(State::Draining, at);
-                self.close(State::Cold, at);
-                self.open(State::Gone, at, 1);
+                self.close(MemberState::Draining, at);
+                self.close(MemberState::Cold, at);
+                self.open(MemberState::Gone, at, 1);
             }
         }
         self.phase = Some(phase);
@@ -187,8 +187,8 @@
 
     /// It answered, whatever the answer.
     pub fn alive(&mut self, at: f64) {
-        self.close(State::Silent, at);
-        self.close(State::Dead, at);
+        self.close(MemberState::Silent, at);
+        self.close(MemberState::Dead, at);
         (self.mute, self.broke) = Default::default();
         self.alive_at = at;
     }
@@ -197,7 +197,7 @@
     pub fn served(&mut self, at: f64) {
         self.alive(at);
         // When it took work again lies between the last refusal and this: the middle is nearest.
-        self.close(State::Refusing, (self.refused.last + at) / 2.0);
+        self.close(MemberState::Refusing, (self.refused.last + at) / 2.0);
         self.refused = Doubt::default();
         self.attempts += 1;
         self.served += 1;
@@ -208,7 +208,7 @@
         let count = self.mute.add(since, at, f64::INFINITY);
         if count >= 2 && self.phase != Some(Phase::Gone) {
             let from = self.mute.since;
-            self.open(State::Silent, from, count);
+            self.open(MemberState::Silent, from, count);
         }
     }
 
@@ -217,7 +217,7 @@
         // The end of a drain breaks what is left: that is no surprise.
         if count >= 2 && self.phase == Some(Phase::Serving) {
             let from = self.broke.since;
-            self.open(State::Dead, from, count);
+            self.open(MemberState::Dead, from, count);
         }
     }
 
@@ -231,9 +231,9 @@
             (Outcome::Full | Outcome::Error, _) => {
                 self.alive(at);
                 let count = self.refused.add(at, at, REFUSED_WITHIN_MS);
-                if count >= 3 || self.is(State::Refusing) {
+                if count >= 3 || self.is(MemberState::Refusing) {
                     let from = self.refused.since;
-                    self.open(State::Refusing, from, count);
+                    self.open(MemberState::Refusing, from, count);
                 }
             }
             (Outcome::Ok, false) => self.alive(at),
@@ -265,7 +265,7 @@
         }
         self.slow_word_at = at;
         if took_ms <= aim_ms {
-            self.close(State::Slow, at);
+            self.close(MemberState::Slow, at);
             (self.slow, self.slow_sum) = Default::default();
             return;
         }
@@ -273,10 +273,10 @@
         self.slow_sum += took_ms;
         if count >= 2 {
             let (from, mean) = (self.slow.since, self.slow_sum / count as f64);
-            if !self.is(State::Slow) {
+            if !self.is(MemberState::Slow) {
                 self.slowness.push(mean);
             }
-            self.open(State::Slow, from, count);
+            self.open(MemberState::Slow, from, count);
             if let Some(last) = self.slowness.last_mut() {
                 *last = mean;
             }
@@ -287,21 +287,21 @@
     pub fn viewed(&mut self, origin: Origin, at: f64, warmth: f64, avoided: bool) {
         self.avoided(origin, at, avoided);
         if warmth >= 0.99 {
-            self.close(State::Cold, at);
+            self.close(MemberState::Cold, at);
         } else if self.phase == Some(Phase::Serving)
             && let Some(born) = self.born.filter(|born| (at - born).abs() < FRESH_MS)
-            && !self.spans.iter().any(|span| span.state == State::Cold && span.from == born)
+            && !self.spans.iter().any(|span| span.state == MemberState::Cold && span.from == born)
         {
-            self.open(State::Cold, born, 1);
+            self.open(MemberState::Cold, born, 1);
         }
     }
 
     fn avoided(&mut self, origin: Origin, at: f64, avoided: bool) {
         if avoided {
             self.avoided_by.insert(origin);
-            self.open(State::Avoided, at, 1);
+            self.open(MemberState::Avoided, at, 1);
         } else if self.avoided_by.remove(&origin) && self.avoided_by.is_empty() {
-            self.close(State::Avoided, at);
+            self.close(MemberState::Avoided, at);
         }
     }
 
--- a/crates/incident/src/member/tests.rs
+++ b/crates/incident/src/member/tests.rs
@@ -9,7 +9,7 @@
     track
 }
 
-fn spans(track: &Track) -> Vec<(State, f64, Option<f64>)> {
+fn spans(track: &Track) -> Vec<(MemberState, f64, Option<f64>)> {
     track.spans().iter().map(|span| (span.state, span.from, span.until)).collect()
 }
 
@@ -22,7 +22,7 @@
     assert_eq!(spans(&track), []);
     track.flow(5_200.0, Outcome::TimedOut, false, 700.0);
     track.probed(8_000.0, Outcome::Ok, Some(0.5));
-    assert_eq!(spans(&track), [(State::Silent, 4_300.0, Some(8_000.0))]);
+    assert_eq!(spans(&track), [(MemberState::Silent, 4_300.0, Some(8_000.0))]);
 }
 
 #[test]
@@ -31,7 +31,7 @@
     track.served(4_900.0);
     track.flow(5_000.0, Outcome::TimedOut, false, 700.0);
     track.flow(5_200.0, Outcome::TimedOut, false, 700.0);
-    assert_eq!(spans(&track), [(State::Silent, 4_900.0, None)]);
+    assert_eq!(spans(&track), [(MemberState::Silent, 4_900.0, None)]);
 }
 
 #[test]
@@ -40,13 +40,16 @@
     track.listed(HERE, 2_000.0, Phase::Draining, None, false);
     (0..9).for_each(|_| track.flow(7_000.0, Outcome::Reset, true, 100.0));
     track.listed(HERE, 7_200.0, Phase::Gone, None, false);
-    assert_eq!(spans(&track), [(State::Draining, 2_000.0, Some(7_200.0)), (State::Gone, 7_200.0, None)]);
+    assert_eq!(
+        spans(&track),
+        [(MemberState::Draining, 2_000.0, Some(7_200.0)), (MemberState::Gone, 7_200.0, None)]
+    );
     let mut other = self::track();
     other.flow(7_000.0, Outcome::Reset, true, 100.0);
     other.flow(9_000.0, Outcome::Reset, true, 100.0);
     assert_eq!(spans(&other), [], "two broken connections, far apart");
     other.flow(9_100.0, Outcome::Reset, true, 100.0);
-    assert_eq!(spans(&other), [(State::Dead, 9_000.0, None)]);
+    assert_eq!(spans(&other), [(MemberState::Dead, 9_000.0, None)]);
 }
 
 #[test]
@@ -60,10 +63,10 @@
     track.viewed(HERE, 20_500.0, 0.2, false);
     track.viewed(HERE, 29_500.0, 1.0, false);
     let wanted = [
-        (State::Silent, 4_300.0, Some(9_000.0)),
-        (State::Draining, 6_000.0, Some(9_000.0)),
-        (State::Gone, 9_000.0, Some(19_500.0)),
-        (State::Cold, 19_500.0, Some(29_500.0)),
+        (MemberState::Silent, 4_300.0, Some(9_000.0)),
+        (MemberState::Draining, 6_000.0, Some(9_000.0)),
+        (MemberState::Gone, 9_000.0, Some(19_500.0)),
+        (MemberState::Cold, 19_500.0, Some(29_500.0)),
     ];
     assert_eq!(spans(&track), wanted);
 }
@@ -73,8 +76,8 @@
     let mut track = track();
     track.listed(HERE, 2_000.0, Phase::Draining, None, false);
     track.listed(Origin(1), 2_500.0, Phase::Serving, None, false);
-    assert_eq!(spans(&track), [(State::Draining, 2_000.0, None)]);
+    assert_eq!(spans(&track), [(MemberState::Draining, 2_000.0, None)]);
     track.listed(Origin(1), 2_700.0, Phase::Draining, None, false);
     track.listed(HERE, 9_000.0, Phase::Serving, None, false);
-    assert_eq!(spans(&track), [(State::Draining, 2_000.0, Some(9_000.0))]);
+    assert_eq!(spans(&track), [(MemberState::Draining, 2_000.0, Some(9_000.0))]);
 }
--- a/crates/incident/tests/any_records.rs
+++ b/crates/incident/tests/any_records.rs
@@ -1,5 +1,5 @@
 //! Whatever a node may have recorded, in whatever order: no panic, and sums that hold.
-use hopmoor_incident::{Board, Findings, analyse};
+use hopmoor_incident::{Dashboard, Findings, analyse};
 use hopmoor_record::folder::Item;
 use hopmoor_record::*;
 use proptest::prelude::*;
@@ -15,11 +15,11 @@
     let phase = prop::sample::select(vec![Phase::Serving, Phase::Draining, Phase::Gone]);
     let coming = prop::sample::select(vec![ArrivalKind::First, ArrivalKind::Retry, ArrivalKind::Return]);
     let reason = prop::sample::select(vec![
-        Reason::Draining,
-        Reason::Gone,
-        Reason::Leaving,
-        Reason::Relief,
-        Reason::Member,
+        MoveReason::Draining,
+        MoveReason::Gone,
+        MoveReason::Leaving,
+        MoveReason::Relief,
+        MoveReason::Member,
     ]);
     let answer = prop::sample::select(vec![
         Answer::Served,
@@ -132,10 +132,10 @@
             Merged::of(vec![of(items("a", a.clone())), of(items("b", b.clone()))])
         };
         check(&analyse(read()));
-        let mut board = Board::default();
+        let mut dashboard = Dashboard::default();
         for (origin, at, step) in read() {
-            board.feed(origin, at, &step);
+            dashboard.feed(origin, at, &step);
         }
-        prop_assert!(board.rows().len() <= 4);
+        prop_assert!(dashboard.rows().len() <= 4);
     }
 }
--- a/crates/ops/src/console/app.rs
+++ b/crates/ops/src/console/app.rs
@@ -1,12 +1,12 @@
 //! State of the console and its key bindings, independent of the terminal.
 
 use super::source::Source;
-use hopmoor_incident::Board;
-use hopmoor_incident::board::Line;
+use hopmoor_incident::Dashboard;
+use hopmoor_incident::dashboard::EventLine;
 use ratatui::crossterm::event::{KeyCode, KeyEvent, KeyModifiers};
 use std::time::Instant;
 
-/// Event filters that `f` cycles through; all but `all` and `bad` are values of [`Line::kind`].
+/// Event filters that `f` cycles through; all but `all` and `bad` are values of [`EventLine::kind`].
 const EVENT_FILTERS: [&str; 10] =
     ["all", "bad", "node", "member", "answer", "flow", "probe", "delay", "move", "doubt"];
 
@@ -66,7 +66,7 @@
     /// Where records are read from.
     pub source: Source,
     /// State of nodes, members and tenants at the time shown.
-    pub board: Board,
+    pub dashboard: Dashboard,
     /// Index of the first member row shown.
     pub first_member: usize,
     /// Number of newest matching events scrolled past.
@@ -88,7 +88,7 @@
     pub fn new(source: Source) -> App {
         App {
             source,
-            board: Board::default(),
+            dashboard: Dashboard::default(),
             first_member: 0,
             scroll_back: 0,
             filter: String::new(),
@@ -110,12 +110,12 @@
         let passed_ms =
             self.last_advance.map_or(0.0, |last| now.duration_since(last).as_secs_f64() * 1_000.0);
         self.last_advance = Some(now);
-        self.source.advance(passed_ms, &mut self.board);
+        self.source.advance(passed_ms, &mut self.dashboard);
     }
 
     /// Moves a replay to a time in Unix milliseconds; going back reads the records from the beginning again.
     pub fn seek(&mut self, to_ms: f64) {
-        if self.source.seek(to_ms, &mut self.board) {
+        if self.source.seek(to_ms, &mut self.dashboard) {
             self.scroll_back = 0;
         }
     }
@@ -126,7 +126,7 @@
     }
 
     /// Whether an event passes both the event filter and the text filter.
-    pub fn is_shown(&self, line: &Line) -> bool {
+    pub fn is_shown(&self, line: &EventLine) -> bool {
         let kind_matches = match self.event_filter() {
             "all" => true,
             "bad" => line.bad,
@@ -157,7 +157,7 @@
             }
             return;
         }
-        let now_ms = self.source.now(&self.board);
+        let now_ms = self.source.now(&self.dashboard);
         match key {
             KeyInput::Char('q') => self.quit = true,
             KeyInput::Escape if self.show_help => self.show_help = false,
@@ -179,9 +179,10 @@
             KeyInput::Char('/') => self.filter_input = Some(String::new()),
             KeyInput::Up | KeyInput::Char('k') => self.first_member = self.first_member.saturating_sub(1),
             KeyInput::Down | KeyInput::Char('j') => {
-                self.first_member = (self.first_member + 1).min(self.board.members.len().saturating_sub(1));
+                self.first_member =
+                    (self.first_member + 1).min(self.dashboard.members.len().saturating_sub(1));
             }
-            KeyInput::PageUp => self.scroll_back = (self.scroll_back + 5).min(self.board.lines.len()),
+            KeyInput::PageUp => self.scroll_back = (self.scroll_back + 5).min(self.dashboard.lines.len()),
             KeyInput::PageDown => self.scroll_back = self.scroll_back.saturating_sub(5),
             _ => {}
         }
--- a/crates/ops/src/console/source.rs
+++ b/crates/ops/src/console/source.rs
@@ -2,7 +2,7 @@
 //! records.
 
 use crate::{Failed, merge_folders};
-use hopmoor_incident::Board;
+use hopmoor_incident::Dashboard;
 use hopmoor_page::time;
 use hopmoor_record::folder::Item;
 use hopmoor_record::merge::Step;
@@ -62,47 +62,51 @@
     }
 
     /// Reads what nodes have written since, or advances a replay that runs by `passed_ms` times its speed.
-    pub fn advance(&mut self, passed_ms: f64, board: &mut Board) {
+    pub fn advance(&mut self, passed_ms: f64, dashboard: &mut Dashboard) {
         match self {
-            Source::Live(live) => live.poll(board),
+            Source::Live(live) => live.poll(dashboard),
             Source::Replay(replay) => {
                 if !replay.paused && !replay.at_end {
                     replay.position += passed_ms * replay.speed;
                 }
-                replay.feed_until_position(board);
+                replay.feed_until_position(dashboard);
             }
         }
     }
 
     /// Moves a replay to a time and returns `true`; `false` if the source is live or its folders cannot be
     /// read.
-    pub fn seek(&mut self, to_ms: f64, board: &mut Board) -> bool {
+    pub fn seek(&mut self, to_ms: f64, dashboard: &mut Dashboard) -> bool {
         let Source::Replay(replay) = self else { return false };
         if to_ms < replay.position {
             // The board cannot undo steps: going back starts over from the first record.
             let Ok(records) = merge_folders(&replay.folders) else { return false };
             replay.records = records;
             replay.next = replay.records.next();
-            *board = Board::default();
+            *dashboard = Dashboard::default();
         }
         replay.at_end = false;
         replay.position = to_ms.max(replay.start);
-        replay.feed_until_position(board);
+        replay.feed_until_position(dashboard);
         if replay.at_end {
-            replay.position = board.now;
+            replay.position = dashboard.now;
         }
         true
     }
 
     /// The time shown, in Unix milliseconds.
-    pub fn now(&self, board: &Board) -> f64 {
+    pub fn now(&self, dashboard: &Dashboard) -> f64 {
         match self {
             Source::Live(_) => {
                 let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
                 let host_ms = unix.as_secs_f64() * 1_000.0;
                 // If the newest record is not within an hour of the host's clock, the records are from
                 // another time: their own end is shown.
-                if (host_ms - board.now).abs() < 3_600_000.0 { host_ms.max(board.now) } else { board.now }
+                if (host_ms - dashboard.now).abs() < 3_600_000.0 {
+                    host_ms.max(dashboard.now)
+                } else {
+                    dashboard.now
+                }
             }
             Source::Replay(replay) => replay.position,
         }
@@ -143,7 +147,7 @@
 
 impl Live {
     /// Reads new items of all folders and feeds them in the order of their times.
-    fn poll(&mut self, board: &mut Board) {
+    fn poll(&mut self, dashboard: &mut Dashboard) {
         if self.paused {
             return;
         }
@@ -167,15 +171,15 @@
             }
         }
         steps.sort_by(|a, b| a.1.total_cmp(&b.1));
-        steps.into_iter().for_each(|(origin, at, step)| board.feed(origin, at, &step));
+        steps.into_iter().for_each(|(origin, at, step)| dashboard.feed(origin, at, &step));
     }
 }
 
 impl Replay {
     /// Feeds all steps up to `position`.
-    fn feed_until_position(&mut self, board: &mut Board) {
+    fn feed_until_position(&mut self, dashboard: &mut Dashboard) {
         while let Some((origin, at, step)) = self.next.take_if(|(_, at, _)| *at <= self.position) {
-            board.feed(origin, at, &step);
+            dashboard.feed(origin, at, &step);
             self.next = self.records.next();
         }
         self.at_end = self.next.is_none();
--- a/crates/ops/src/console/view.rs
+++ b/crates/ops/src/console/view.rs
@@ -2,7 +2,7 @@
 //! smaller terminals cut it off without an error.
 
 use super::app::App;
-use hopmoor_incident::board::{Row, Second};
+use hopmoor_incident::dashboard::{Row, SecondCounts};
 use hopmoor_page::time;
 use ratatui::Frame;
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -28,10 +28,10 @@
 
 /// Draws the whole screen.
 pub fn draw(frame: &mut Frame, app: &App) {
-    let tenants = app.board.tenants();
+    let tenants = app.dashboard.tenants();
     let tenant_rows = if tenants.is_empty() { 0 } else { tenants.len().min(4) as u16 + 2 };
     let max_member_rows = usize::from(frame.area().height.saturating_sub(6)) / 2 + 1;
-    let member_rows = (app.board.members.len() + 2).min(max_member_rows).max(4) as u16;
+    let member_rows = (app.dashboard.members.len() + 2).min(max_member_rows).max(4) as u16;
     let constraints = [
         Constraint::Length(1),
         Constraint::Length(member_rows),
@@ -51,16 +51,16 @@
 }
 
 fn draw_head(frame: &mut Frame, app: &App, area: Rect) {
-    let board = &app.board;
-    let now = app.source.now(board);
-    let (served_per_s, turned_away_per_s) = board.rates();
+    let dashboard = &app.dashboard;
+    let now = app.source.now(dashboard);
+    let (served_per_s, turned_away_per_s) = dashboard.rates();
     let turned_away_style = if turned_away_per_s > 0.0 { Style::new().fg(Color::Red) } else { Style::new() };
     let mut line = vec![
         Span::from(format!(" {} ", app.source.status_label())).bold().reversed(),
         Span::from(format!(" {}  served {served_per_s:.1}/s  ", time::clock(now))),
         Span::styled(format!("turned away {turned_away_per_s:.1}/s "), turned_away_style),
     ];
-    for node in &board.nodes {
+    for node in &dashboard.nodes {
         let style = if node.running { Style::new().fg(Color::Green) } else { Style::new().fg(Color::Red) };
         line.push(Span::styled(
             format!(" {} {}", node.name, if node.running { "up" } else { "down" }),
@@ -86,7 +86,7 @@
     const BARS: [char; 9] = ['\u{b7}', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let seconds = row.recent(now, width);
     let peak = seconds.iter().map(|second| second.served + second.failed).max().unwrap_or(0).max(4);
-    let bar = |second: &Second| {
+    let bar = |second: &SecondCounts| {
         let attempts = second.served + second.failed;
         let height =
             if attempts == 0 { 0 } else { (usize::from(attempts) * 8).div_ceil(usize::from(peak)).min(8) };
@@ -106,8 +106,8 @@
 }
 
 fn draw_members(frame: &mut Frame, app: &App, area: Rect) {
-    let now = app.source.now(&app.board);
-    let rows = app.board.rows();
+    let now = app.source.now(&app.dashboard);
+    let rows = app.dashboard.rows();
     let shown = usize::from(area.height.saturating_sub(2));
     let first = app.first_member.min(rows.len().saturating_sub(shown));
     // What the other columns and the space between columns leave.
@@ -167,7 +167,7 @@
     if area.height == 0 {
         return;
     }
-    let tenants = app.board.tenants();
+    let tenants = app.dashboard.tenants();
     let hidden = tenants.len().saturating_sub(usize::from(area.height.saturating_sub(2)));
     let lines = tenants.into_iter().map(|(name, share)| {
         let style = if share.queued > 0 { Style::new().fg(Color::Yellow) } else { Style::new() };
@@ -210,7 +210,7 @@
 fn draw_events(frame: &mut Frame, app: &App, area: Rect) {
     let shown = usize::from(area.height.saturating_sub(1));
     let mut lines: Vec<_> = app
-        .board
+        .dashboard
         .lines
         .iter()
         .rev()
--- a/crates/ops/src/fleet.rs
+++ b/crates/ops/src/fleet.rs
@@ -304,16 +304,16 @@
             None => generate_key(1)?,
             Some(file) => {
                 let old = read_keys(file)?;
-                let (newest, sealing) = (old.newest(), old.seals_with());
+                let (newest_key_id, sealing) = (old.newest_key_id(), old.sealing_key_id());
                 if self.turn {
-                    old.sealing_with(newest)
+                    old.with_sealing_key(newest_key_id)
                 } else if self.drop_old {
-                    old.only(sealing)
+                    old.with_only_key(sealing)
                 } else {
-                    let number = newest.checked_add(1).ok_or_else(|| {
+                    let number = newest_key_id.checked_add(1).ok_or_else(|| {
                         Failed("the newest key has the highest possible number: no key can be added".into())
                     })?;
-                    Keys::joined(&[old, generate_key(number)?], sealing)
+                    Keys::merged(&[old, generate_key(number)?], sealing)
                 }
                 .ok_or_else(|| Failed(format!("{}: no such key", file.display())))?
             }
--- a/crates/ops/src/records.rs
+++ b/crates/ops/src/records.rs
@@ -278,13 +278,13 @@
                     damaged += 1;
                     eprintln!("hopmoor-ops: {}: {damage}", path.display());
                 }
-                Step::Shifted(shift_ms) => {
+                Step::ClockShifted(shift_ms) => {
                     eprintln!(
                         "hopmoor-ops: clock set back; what follows is shown {:.1} s later",
                         shift_ms / 1_000.0
                     );
                 }
-                Step::Over | Step::End => {}
+                Step::RunEnded | Step::FolderEnded => {}
             }
         }
         if let Some(table) = &mut table {
--- a/crates/ops/src/report.rs
+++ b/crates/ops/src/report.rs
@@ -1,7 +1,9 @@
 //! `report`: the incidents found in the records, as one HTML page or as JSON.
 
 use crate::{Failed, merge_folders};
-use hopmoor_incident::{Account, Findings, Incident, IncidentKind, Member, RunEnd, State, analyse};
+use hopmoor_incident::{
+    Findings, Incident, IncidentKind, Member, MemberState, RunEnd, ServiceTotals, analyse,
+};
 use hopmoor_page::plot::{
     LEFT_MARGIN, PLOT_WIDTH, RIGHT_MARGIN, TimeAxis, area_path, compact, curve_path, round_up,
 };
@@ -119,13 +121,13 @@
 }
 
 fn summary_tiles(findings: &Findings) -> Markup {
-    let sum = |count: fn(&Account) -> u64| findings.classes.iter().map(count).sum::<u64>();
+    let sum = |count: fn(&ServiceTotals) -> u64| findings.classes.iter().map(count).sum::<u64>();
     let rejected_or_failed = sum(|class| class.rejected + class.failed);
     let all = sum(|class| class.transactions);
     let (broken, moved) = (sum(|class| class.broken), sum(|class| class.moved));
     let service = findings.service;
     let is_member_fault =
-        |incident: &&Incident| matches!(incident.kind, IncidentKind::Member(state) if state.is_trouble());
+        |incident: &&Incident| matches!(incident.kind, IncidentKind::Member(state) if state.is_fault());
     let member_faults = findings.incidents.iter().filter(is_member_fault).count();
     let share_of_all =
         |count: u64| if all > 0 { format_percent(count as f64 / all as f64) } else { "0%".into() };
@@ -150,7 +152,7 @@
     let mut costly: Vec<&Incident> =
         findings.incidents.iter().filter(|incident| incident.share > 0.000_5).collect();
     costly.sort_by(|a, b| b.lost.total_cmp(&a.lost));
-    let hardest_hit = |rows: &[Account]| {
+    let hardest_hit = |rows: &[ServiceTotals]| {
         let rows = rows.iter().filter(|row| row.asked > 0.0);
         rows.max_by(|a, b| (a.lost / a.asked).total_cmp(&(b.lost / b.asked)))
             .map(|row| (row.name.clone(), row.lost / row.asked))
@@ -197,8 +199,15 @@
 
 /// The legend of the timeline.
 fn legend() -> Markup {
-    let states =
-        [State::Silent, State::Dead, State::Refusing, State::Slow, State::Draining, State::Gone, State::Cold];
+    let states = [
+        MemberState::Silent,
+        MemberState::Dead,
+        MemberState::Refusing,
+        MemberState::Slow,
+        MemberState::Draining,
+        MemberState::Gone,
+        MemberState::Cold,
+    ];
     html! {
         div.key {
             @for state in states { (swatch(state.word(), state.word())) }
@@ -211,14 +220,14 @@
 /// The members that the timeline shows, in the order of their names. If there are too many, members with a
 /// fault take precedence over members with other changes of state, and those over the rest.
 fn members_to_draw(members: &[Member]) -> Vec<&Member> {
-    let has_fault = |member: &&Member| member.spans.iter().any(|span| span.state.is_trouble());
+    let has_fault = |member: &&Member| member.spans.iter().any(|span| span.state.is_fault());
     let changed_only = |member: &&Member| !member.spans.is_empty() && !has_fault(member);
     let unchanged = |member: &&Member| member.spans.is_empty();
     let mut all: Vec<&Member> = members.iter().filter(has_fault).collect();
     all.extend(members.iter().filter(changed_only));
     all.extend(members.iter().filter(unchanged));
     all.truncate(MAX_MEMBER_LANES);
-    all.sort_by(|a, b| hopmoor_incident::analysis::in_order(&a.name, &b.name));
+    all.sort_by(|a, b| hopmoor_incident::analysis::natural_order(&a.name, &b.name));
     all
 }
 
@@ -280,8 +289,15 @@
 /// One member's lane of the timeline, with its spans of states.
 fn member_lane(findings: &Findings, axis: &TimeAxis, member: &Member, y: f64, lane: &Markup) -> Markup {
     // Drawn in this order, so that bars of narrower states lie on top of wider ones.
-    let order =
-        [State::Gone, State::Cold, State::Draining, State::Slow, State::Refusing, State::Silent, State::Dead];
+    let order = [
+        MemberState::Gone,
+        MemberState::Cold,
+        MemberState::Draining,
+        MemberState::Slow,
+        MemberState::Refusing,
+        MemberState::Silent,
+        MemberState::Dead,
+    ];
     html! {
         g id=(format!("m-{}", member.name)) {
             text x="4" y=(compact(y + 12.0)) { title { (member.name) } (truncated_name(&member.name)) }
@@ -289,7 +305,7 @@
             @for state in order {
                 @for span in member.spans.iter().filter(|span| span.state == state) {
                     @let until = span.until.unwrap_or(findings.until);
-                    @let inset = match state { State::Draining => 3.0, State::Silent | State::Dead | State::Refusing => 5.0, _ => 0.0 };
+                    @let inset = match state { MemberState::Draining => 3.0, MemberState::Silent | MemberState::Dead | MemberState::Refusing => 5.0, _ => 0.0 };
                     @let incident = findings.incidents.iter().find(|incident| {
                         incident.kind == IncidentKind::Member(state) && incident.subject == member.name && incident.from == span.from
                     });
@@ -299,7 +315,7 @@
                             time::duration(until - span.from))))
                 }
             }
-            @for span in member.spans.iter().filter(|span| span.state == State::Avoided) {
+            @for span in member.spans.iter().filter(|span| span.state == MemberState::Avoided) {
                 (span_bar("avoided", axis, span.from, span.until.unwrap_or(findings.until), y + LANE_HEIGHT - 6.0,
                     2.0, None,
                     &format!("{} avoided from {}", member.name, time::clock(span.from))))
@@ -446,7 +462,7 @@
 }
 
 /// What classes or tenants asked for and got; `heading` is the first column's.
-fn totals_table(heading: &str, rows: &[Account]) -> Markup {
+fn totals_table(heading: &str, rows: &[ServiceTotals]) -> Markup {
     html! {
         div.wide { table {
             thead { tr {
--- a/crates/ops/src/report/tests.rs
+++ b/crates/ops/src/report/tests.rs
@@ -4,10 +4,10 @@
 #[test]
 fn names_from_records_are_escaped_in_the_page() {
     let name = "<script>alert(1)</script>\"'&";
-    let span = Span { state: State::Silent, from: 1e12, until: None, evidence: 3 };
+    let span = Span { state: MemberState::Silent, from: 1e12, until: None, evidence: 3 };
     let incident = Incident {
         number: 1,
-        kind: IncidentKind::Member(State::Silent),
+        kind: IncidentKind::Member(MemberState::Silent),
         subject: name.into(),
         from: 1e12,
         until: None,
@@ -20,8 +20,8 @@
         from: 1e12,
         until: 1e12 + 1e5,
         members: vec![Member { name: name.into(), spans: vec![span], ..Member::default() }],
-        classes: vec![Account { name: name.into(), asked: 1.0, lost: 0.5, ..Account::default() }],
-        tenants: vec![Account { name: name.into(), asked: 1.0, lost: 0.5, ..Account::default() }],
+        classes: vec![ServiceTotals { name: name.into(), asked: 1.0, lost: 0.5, ..ServiceTotals::default() }],
+        tenants: vec![ServiceTotals { name: name.into(), asked: 1.0, lost: 0.5, ..ServiceTotals::default() }],
         nodes: vec![hopmoor_incident::Node { name: name.into(), ..Default::default() }],
         incidents: vec![incident],
         ..Findings::default()
--- a/crates/record/src/folder.rs
+++ b/crates/record/src/folder.rs
@@ -35,7 +35,7 @@
 
 /// How much is kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Keep {
+pub struct Retention {
     /// A segment is sealed once it has so many bytes.
     pub segment_bytes: u64,
     /// The oldest are removed while all together have more.
@@ -44,9 +44,9 @@
     pub keep_for: Duration,
 }
 
-impl Default for Keep {
+impl Default for Retention {
     fn default() -> Self {
-        Keep { segment_bytes: 4 << 20, keep_bytes: 256 << 20, keep_for: Duration::from_secs(72 * 3600) }
+        Retention { segment_bytes: 4 << 20, keep_bytes: 256 << 20, keep_for: Duration::from_secs(72 * 3600) }
     }
 }
 
@@ -54,11 +54,11 @@
 #[derive(Debug)]
 pub enum Notice {
     /// Records are lost from now on.
-    Failing(io::Error),
+    WriteFailed(io::Error),
     /// Records are written again; so many were lost.
     Recovered(u64),
     /// A segment could not be packed, or an old one not be removed; it stays.
-    Untidy(PathBuf, io::Error),
+    CleanupFailed(PathBuf, io::Error),
 }
 
 struct Open<F> {
@@ -73,7 +73,7 @@
 pub struct Writer<D: Disk = RealDisk> {
     disk: D,
     folder: PathBuf,
-    keep: Keep,
+    keep: Retention,
     header: Header,
     open: Option<Open<D::File>>,
     members: BTreeMap<MemberId, Member>,
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// If the folder is not there or can't be written to.
-    pub fn new(mut disk: D, folder: &Path, keep: Keep, mut header: Header) -> io::Result<Self> {
+    pub fn new(mut disk: D, folder: &Path, keep: Retention, mut header: Header) -> io::Result<Self> {
         let files = disk.list(folder)?;
         for file in &files {
             let text = file.path.to_string_lossy();
@@ -275,7 +275,7 @@
         self.retry_at = now + RETRY_MS;
         self.note_loss(records, since, true);
         if !std::mem::replace(&mut self.failing, true) {
-            self.notices.push_back(Notice::Failing(error));
+            self.notices.push_back(Notice::WriteFailed(error));
         }
     }
 
@@ -286,7 +286,7 @@
         let begun = open.path.with_extension("rec.zst.begun");
         if let Err(error) = self.pack(&open.path, &begun) {
             let _ = self.disk.remove(&begun);
-            self.notices.push_back(Notice::Untidy(open.path, error));
+            self.notices.push_back(Notice::CleanupFailed(open.path, error));
         }
     }
 
@@ -318,7 +318,7 @@
             }
             all -= file.bytes;
             if let Err(error) = self.disk.remove(&file.path) {
-                self.notices.push_back(Notice::Untidy(file.path, error));
+                self.notices.push_back(Notice::CleanupFailed(file.path, error));
             }
         }
     }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -17,6 +17,6 @@
 
 pub use codec::{Damage, Decoder, Encoder, FORMAT, Header};
 pub use disk::{Disk, RealDisk};
-pub use folder::{Folder, Keep, Tail, Writer};
+pub use folder::{Folder, Retention, Tail, Writer};
 pub use merge::{Merged, Origin};
 pub use record::*;
--- a/crates/record/src/merge.rs
+++ b/crates/record/src/merge.rs
@@ -25,11 +25,11 @@
     /// Something is damaged or missing here.
     Damaged(PathBuf, Damage),
     /// The clock read earlier than before; what follows is shown so many milliseconds later.
-    Shifted(f64),
+    ClockShifted(f64),
     /// A run's records are over; it stands at their last, so that what other nodes saw next comes after it.
-    Over,
+    RunEnded,
     /// The folder's records end.
-    End,
+    FolderEnded,
 }
 
 struct Source {
@@ -78,11 +78,11 @@
                 Some(Item::Segment(header)) if self.run == Some(header.started) => {}
                 Some(Item::Segment(header)) => {
                     if self.run.replace(header.started).is_some() {
-                        self.next.push_back((time, Step::Over));
+                        self.next.push_back((time, Step::RunEnded));
                     }
                     self.shift = (self.last - header.base).max(0.0);
                     if self.shift > 0.0 {
-                        self.next.push_back((time, Step::Shifted(self.shift)));
+                        self.next.push_back((time, Step::ClockShifted(self.shift)));
                     }
                     self.last = header.base + self.shift;
                     self.next.push_back((self.last, Step::Run(header)));
@@ -98,9 +98,9 @@
                 None => {
                     self.ended = true;
                     if self.run.is_some() {
-                        self.next.push_back((time, Step::Over));
+                        self.next.push_back((time, Step::RunEnded));
                     }
-                    self.next.push_back((time, Step::End));
+                    self.next.push_back((time, Step::FolderEnded));
                 }
             }
         }
--- a/crates/record/src/record.rs
+++ b/crates/record/src/record.rs
@@ -335,7 +335,7 @@
 /// Why a client was told to come again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum MoveReason {
     /// Its member drains.
     Draining,
     /// Its member is gone.
@@ -358,7 +358,7 @@
     /// Away from which member.
     pub member: MemberId,
     /// Why.
-    pub reason: Reason,
+    pub reason: MoveReason,
     /// How long it had stood; none if it had not.
     pub stood_ms: Option<f32>,
 }
--- a/crates/record/tests/damage.rs
+++ b/crates/record/tests/damage.rs
@@ -109,7 +109,7 @@
 #[test]
 fn a_damaged_segment_hides_neither_the_next_nor_that_it_is_damaged() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 150, ..Keep::default() };
+    let keep = Retention { segment_bytes: 150, ..Retention::default() };
     let mut writer = Writer::new(RealDisk, folder.path(), keep, header(1_000.0)).unwrap();
     for n in 0..60 {
         writer.write(1_000.0 + n as f64, 0.0, &[asked(1_000.0 + n as f64, n)]);
@@ -133,7 +133,7 @@
 #[test]
 fn a_restart_goes_on_in_a_new_segment_and_each_names_its_members() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 200, ..Keep::default() };
+    let keep = Retention { segment_bytes: 200, ..Retention::default() };
     for run in 0..3 {
         let began = 1_000.0 * f64::from(run + 1);
         let mut writer = Writer::new(RealDisk, folder.path(), keep, header(began)).unwrap();
@@ -157,7 +157,7 @@
 #[test]
 fn the_oldest_go_as_size_and_age_ask() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 300, keep_bytes: 1_500, ..Keep::default() };
+    let keep = Retention { segment_bytes: 300, keep_bytes: 1_500, ..Retention::default() };
     let mut writer = Writer::new(RealDisk, folder.path(), keep, header(1_000.0)).unwrap();
     for n in 0..500 {
         writer.write(1_000.0 + n as f64, 0.0, &[asked(1_000.0 + n as f64, n)]);
@@ -165,7 +165,7 @@
     let listed = Folder::list(folder.path()).unwrap().segments;
     let all: u64 = listed.iter().map(|segment| segment.bytes).sum();
     assert!(all < 2_200 && listed[0].sequence > 10, "{all} bytes from {}", listed[0].sequence);
-    let aged = Keep { keep_for: Duration::ZERO, ..keep };
+    let aged = Retention { keep_for: Duration::ZERO, ..keep };
     std::thread::sleep(Duration::from_millis(20));
     drop(Writer::new(RealDisk, folder.path(), aged, header(9_000.0)).unwrap());
     assert_eq!(Folder::list(folder.path()).unwrap().segments.len(), 1);
@@ -175,13 +175,13 @@
 fn a_clock_that_steps_back_never_turns_the_order_round() {
     let folder = tempfile::tempdir().unwrap();
     for began in [50_000.0, 20_000.0] {
-        let mut writer = Writer::new(RealDisk, folder.path(), Keep::default(), header(began)).unwrap();
+        let mut writer = Writer::new(RealDisk, folder.path(), Retention::default(), header(began)).unwrap();
         writer.write(began, 0.0, &[asked(began, 1), asked(began + 500.0, 2)]);
     }
     let steps: Vec<_> = Merged::new(vec![Folder::list(folder.path()).unwrap()]).collect();
     assert!(steps.is_sorted_by(|a, b| a.1 <= b.1));
     let shift = steps.iter().find_map(|(_, _, step)| match step {
-        merge::Step::Shifted(by) => Some(*by),
+        merge::Step::ClockShifted(by) => Some(*by),
         _ => None,
     });
     assert_eq!(shift, Some(30_500.0));
@@ -191,7 +191,7 @@
 #[test]
 fn a_tail_follows_sealing_and_restarts() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 400, ..Keep::default() };
+    let keep = Retention { segment_bytes: 400, ..Retention::default() };
     let mut seen = Vec::new();
     let mut tail = None;
     for run in 0..3u64 {
@@ -222,7 +222,7 @@
 #[test]
 fn a_tail_from_the_oldest_reads_through_sealed_segments() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 300, ..Keep::default() };
+    let keep = Retention { segment_bytes: 300, ..Retention::default() };
     let mut writer = Writer::new(RealDisk, folder.path(), keep, header(1_000.0)).unwrap();
     let mut write = |n: u64| writer.write(1_000.0 + n as f64, 0.0, &[asked(1_000.0 + n as f64, n)]);
     (0..60).for_each(&mut write);
@@ -239,7 +239,7 @@
 #[test]
 fn a_large_pool_neither_churns_segments_nor_stops_the_recording() {
     let folder = tempfile::tempdir().unwrap();
-    let keep = Keep { segment_bytes: 4_096, ..Keep::default() };
+    let keep = Retention { segment_bytes: 4_096, ..Retention::default() };
     let mut writer = Writer::new(RealDisk, folder.path(), keep, header(1_000.0)).unwrap();
     let mut pool: Vec<_> = (0..2_000).map(|number| member(1_000.0, number, Phase::Serving)).collect();
     if let Event::Member(member) = &mut pool[7].event {
--- a/crates/record/tests/full_disk.rs
+++ b/crates/record/tests/full_disk.rs
@@ -81,7 +81,7 @@
     let folder = tempfile::tempdir().unwrap();
     let left = Arc::new(AtomicI64::new(900));
     let header = Header { node: "n".into(), ..Header::default() };
-    let mut writer = Writer::new(Small(left.clone()), folder.path(), Keep::default(), header).unwrap();
+    let mut writer = Writer::new(Small(left.clone()), folder.path(), Retention::default(), header).unwrap();
     for n in 0..200 {
         if n == 150 {
             left.store(1 << 20, Relaxed);
@@ -89,7 +89,10 @@
         writer.write(n as f64 * 100.0, 0.0, &[asked(n as f64 * 100.0, n)]);
     }
     let notices: Vec<_> = std::iter::from_fn(|| writer.notice()).collect();
-    assert!(matches!(notices[..], [Notice::Failing(_), Notice::Recovered(_)]), "one line each: {notices:?}");
+    assert!(
+        matches!(notices[..], [Notice::WriteFailed(_), Notice::Recovered(_)]),
+        "one line each: {notices:?}"
+    );
     let (lost, read) = gaps_and_records(folder.path());
     assert_eq!(lost, writer.lost());
     assert!(lost > 50 && read > 50, "{lost} lost, {read} read");
@@ -101,7 +104,7 @@
     let above = tempfile::tempdir().unwrap();
     let folder = above.path().join("records");
     std::fs::create_dir(&folder).unwrap();
-    let mut writer = Writer::new(RealDisk, &folder, Keep::default(), Header::default()).unwrap();
+    let mut writer = Writer::new(RealDisk, &folder, Retention::default(), Header::default()).unwrap();
     writer.write(0.0, 0.0, &[asked(0.0, 0)]);
     std::fs::remove_dir_all(&folder).unwrap();
     for n in 1..40 {
@@ -111,7 +114,7 @@
         writer.write(n as f64 * 100.0, 0.0, &[asked(n as f64 * 100.0, n)]);
     }
     let notices: Vec<_> = std::iter::from_fn(|| writer.notice()).collect();
-    assert!(matches!(notices[..], [Notice::Failing(_), Notice::Recovered(_)]), "{notices:?}");
+    assert!(matches!(notices[..], [Notice::WriteFailed(_), Notice::Recovered(_)]), "{notices:?}");
     let (lost, read) = gaps_and_records(&folder);
     assert!(lost >= 20 && read >= 5, "{lost} {read}");
     assert_eq!(lost, writer.lost());
@@ -120,7 +123,7 @@
 #[test]
 fn records_that_never_came_are_told_before_the_next() {
     let folder = tempfile::tempdir().unwrap();
-    let mut writer = Writer::new(RealDisk, folder.path(), Keep::default(), Header::default()).unwrap();
+    let mut writer = Writer::new(RealDisk, folder.path(), Retention::default(), Header::default()).unwrap();
     writer.missed(17, 5.0);
     writer.write(10.0, 0.0, &[asked(10.0, 1)]);
     let items: Vec<_> = Folder::list(folder.path()).unwrap().read().collect();
--- a/crates/resume/src/token.rs
+++ b/crates/resume/src/token.rs
@@ -4,7 +4,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
-use hopmoor_seal::{Keys, Kind, Unsealed};
+use hopmoor_seal::{Keys, Kind, UnsealError};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -94,9 +94,9 @@
     }
     let bytes = URL_SAFE_NO_PAD.decode(token).map_err(|_| Refused::Malformed)?;
     let plain = hopmoor_seal::open(keys, Kind::Token, &bytes).map_err(|why| match why {
-        Unsealed::Malformed => Refused::Malformed,
-        Unsealed::UnknownKey => Refused::UnknownKey,
-        Unsealed::Forged => Refused::Forged,
+        UnsealError::Malformed => Refused::Malformed,
+        UnsealError::UnknownKey => Refused::UnknownKey,
+        UnsealError::Forged => Refused::Forged,
     })?;
     let claims: Claims = postcard::from_bytes(&plain).map_err(|_| Refused::Malformed)?;
     if claims.realm != realm {
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -174,7 +174,7 @@
 
 fn file_of(keys: &[(u32, u8)], seal_with: u32) -> String {
     let several: Vec<Keys> = keys.iter().map(|(id, byte)| Keys::new(*id, [*byte; KEY_BYTES])).collect();
-    Keys::joined(&several, seal_with).map(|keys| keys.file()).unwrap_or_default()
+    Keys::merged(&several, seal_with).map(|keys| keys.file()).unwrap_or_default()
 }
 
 impl Rig {
--- a/crates/seal/src/keys.rs
+++ b/crates/seal/src/keys.rs
@@ -65,29 +65,29 @@
     }
 
     /// The keys of several, one of which seals; `None` if that is not among them.
-    pub fn joined(several: &[Keys], seal_with: u32) -> Option<Keys> {
+    pub fn merged(several: &[Keys], seal_with: u32) -> Option<Keys> {
         let keys: BTreeMap<u32, [u8; KEY_BYTES]> =
             several.iter().flat_map(|keys| keys.keys.clone()).collect();
         keys.contains_key(&seal_with).then_some(Keys { seal_with, keys })
     }
 
     /// The highest number.
-    pub fn newest(&self) -> u32 {
+    pub fn newest_key_id(&self) -> u32 {
         self.keys.keys().next_back().copied().unwrap_or_default()
     }
 
     /// The number of the key that seals.
-    pub fn seals_with(&self) -> u32 {
+    pub fn sealing_key_id(&self) -> u32 {
         self.seal_with
     }
 
     /// The same keys, of which another one seals; `None` if that is not among them.
-    pub fn sealing_with(&self, id: u32) -> Option<Keys> {
-        Keys::joined(std::slice::from_ref(self), id)
+    pub fn with_sealing_key(&self, id: u32) -> Option<Keys> {
+        Keys::merged(std::slice::from_ref(self), id)
     }
 
     /// One of them alone.
-    pub fn only(&self, id: u32) -> Option<Keys> {
+    pub fn with_only_key(&self, id: u32) -> Option<Keys> {
         self.named(id).map(|secret| Keys::new(id, secret))
     }
 
--- a/crates/seal/src/lib.rs
+++ b/crates/seal/src/lib.rs
@@ -20,7 +20,7 @@
 const HEAD: usize = 1 + 4;
 const TAG: usize = 16;
 /// Bytes that sealing adds.
-pub const OVERHEAD: usize = HEAD + NONCE_BYTES + TAG;
+pub const OVERHEAD_BYTES: usize = HEAD + NONCE_BYTES + TAG;
 
 /// What was sealed. The bytes are the format: none is used again for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 
 /// Why sealed bytes were refused: for counters and the log, never for who sent them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsealed {
+pub enum UnsealError {
     /// Too short, or of another kind.
     Malformed,
     /// Sealed under a key that is not there.
@@ -45,12 +45,12 @@
     Forged,
 }
 
-impl fmt::Display for Unsealed {
+impl fmt::Display for UnsealError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unsealed::Malformed => "malformed",
-            Unsealed::UnknownKey => "unknown key",
-            Unsealed::Forged => "forged",
+            UnsealError::Malformed => "malformed",
+            UnsealError::UnknownKey => "unknown key",
+            UnsealError::Forged => "forged",
         })
     }
 }
@@ -62,7 +62,7 @@
 /// Seals bytes. The nonce must be random and new each time. `None` if they are too many to be sealed at all.
 pub fn seal(keys: &Keys, kind: Kind, plain: &[u8], nonce: [u8; NONCE_BYTES]) -> Option<Vec<u8>> {
     let (id, key) = keys.sealing();
-    let mut sealed = Vec::with_capacity(plain.len() + OVERHEAD);
+    let mut sealed = Vec::with_capacity(plain.len() + OVERHEAD_BYTES);
     sealed.push(kind as u8);
     sealed.extend_from_slice(&id.to_le_bytes());
     let payload = Payload { msg: plain, aad: &sealed };
@@ -77,21 +77,21 @@
 ///
 /// # Errors
 /// Why they are refused.
-pub fn open(keys: &Keys, kind: Kind, bytes: &[u8]) -> Result<Vec<u8>, Unsealed> {
+pub fn open(keys: &Keys, kind: Kind, bytes: &[u8]) -> Result<Vec<u8>, UnsealError> {
     let Some((&[first, a, b, c, d], rest)) = bytes.split_first_chunk::<HEAD>() else {
-        return Err(Unsealed::Malformed);
+        return Err(UnsealError::Malformed);
     };
     if first != kind as u8 {
-        return Err(Unsealed::Malformed);
+        return Err(UnsealError::Malformed);
     }
-    let (nonce, sealed) = rest.split_first_chunk::<NONCE_BYTES>().ok_or(Unsealed::Malformed)?;
+    let (nonce, sealed) = rest.split_first_chunk::<NONCE_BYTES>().ok_or(UnsealError::Malformed)?;
     let known = keys.named(u32::from_le_bytes([a, b, c, d]));
     let payload = Payload { msg: sealed, aad: &bytes[..HEAD] };
     let plain = cipher(known.unwrap_or_default()).decrypt(&XNonce::from(*nonce), payload);
     if known.is_none() {
-        return Err(Unsealed::UnknownKey);
+        return Err(UnsealError::UnknownKey);
     }
-    plain.map_err(|_| Unsealed::Forged)
+    plain.map_err(|_| UnsealError::Forged)
 }
 
 #[cfg(test)]
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -118,7 +118,7 @@
 
 fn keys(numbers: &[u32], seal_with: u32) -> Keys {
     let listed: Vec<Keys> = numbers.iter().map(|number| Keys::new(*number, key(*number))).collect();
-    Keys::joined(&listed, seal_with).unwrap_or_else(|| Keys::new(seal_with, key(seal_with)))
+    Keys::merged(&listed, seal_with).unwrap_or_else(|| Keys::new(seal_with, key(seal_with)))
 }
 
 impl Run {
--- a/crates/world/src/fleet/agree.rs
+++ b/crates/world/src/fleet/agree.rs
@@ -3,7 +3,7 @@
 use super::{Due, Run, Watch};
 use hopmoor::membership;
 use hopmoor_agree::voter::TICK_MS;
-use hopmoor_agree::{Entry, Kept, Most, Order, Part, Scope, Work};
+use hopmoor_agree::{Action, BudgetLimit, Entry, Participant, PendingWrite, PersistedState, Scope};
 use hopmoor_fleet::identity::Millis;
 use hopmoor_fleet::{NodeInfo, Readiness};
 use hopmoor_standin::faults::Schedule;
@@ -61,20 +61,20 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Disk {
     founders: Option<Vec<u8>>,
-    vote: Option<Vec<u8>>,
+    hard_state: Option<Vec<u8>>,
     log: BTreeMap<u64, Vec<u8>>,
 }
 
 /// What is on its way to a disk.
 #[derive(Debug)]
 pub(super) enum Write {
-    Found(Vec<u8>),
-    Keep(Work),
+    PersistFounders(Vec<u8>),
+    Persist(PendingWrite),
 }
 
 /// A process's part.
 pub(super) struct Agreeing {
-    part: Part,
+    participant: Participant,
     ticks: u64,
 }
 
@@ -86,26 +86,27 @@
             return None;
         }
         let quiet = slog::Logger::root(slog::Discard, slog::o!());
-        let mut part = Part::new(&super::name(node), &voters, self.rng.random(), quiet);
+        let mut participant = Participant::new(&super::name(node), &voters, self.rng.random(), quiet);
         // A folder is one process's at a time.
-        if part.is_to_vote() && self.of[node].is_empty() {
+        if participant.is_voter() && self.of[node].is_empty() {
             let disk = self.disks.entry(node).or_default().clone();
-            let kept = Kept { vote: disk.vote, log: disk.log.into_values().collect() };
-            part.opened(disk.founders.map(|founders| (founders, kept)));
+            let persisted =
+                PersistedState { hard_state: disk.hard_state, log: disk.log.into_values().collect() };
+            participant.folder_opened(disk.founders.map(|founders| (founders, persisted)));
         }
-        Some(Agreeing { part, ticks: 0 })
+        Some(Agreeing { participant, ticks: 0 })
     }
 
     /// An operator sets the fleet's budget, through whoever leads; false if nobody does.
     fn set_budget(&mut self, most: u32) -> bool {
-        let entry = Entry::Budget(Scope::Fleet, Most::Number(most));
-        let leads = |of: &super::Process| of.agreeing.as_ref().is_some_and(|a| a.part.wants_view());
+        let entry = Entry::Budget(Scope::Fleet, BudgetLimit::Number(most));
+        let leads = |of: &super::Process| of.agreeing.as_ref().is_some_and(|a| a.participant.is_leader());
         let leader = self.processes.iter().position(|of| of.as_ref().is_some_and(leads));
         let Some(leader) = leader else { return false };
         if let Some(Some(of)) = self.processes.get_mut(leader)
             && let Some(agreeing) = &mut of.agreeing
         {
-            agreeing.part.set_budget(&entry);
+            agreeing.participant.set_budget(&entry);
         }
         self.carry_out(leader);
         true
@@ -126,9 +127,9 @@
         let Some(Some(of)) = self.processes.get_mut(process) else { return };
         let Some(agreeing) = &mut of.agreeing else { return };
         if on {
-            agreeing.part.ask(request);
+            agreeing.participant.request_permit(request);
         } else {
-            agreeing.part.give_back();
+            agreeing.participant.release();
             self.speak(process, Readiness::Serving);
         }
     }
@@ -152,10 +153,10 @@
         let Some(agreeing) = &mut of.agreeing else { return };
         if !of.stopped {
             agreeing.ticks += 1;
-            agreeing.part.tick(self.now);
-            if agreeing.ticks.is_multiple_of(LOOK) && agreeing.part.wants_view() {
+            agreeing.participant.tick(self.now);
+            if agreeing.ticks.is_multiple_of(LOOK) && agreeing.participant.is_leader() {
                 let seen_nodes = membership::seen_nodes(&of.fleet.view(self.now));
-                agreeing.part.sees(&seen_nodes);
+                agreeing.participant.update_view(&seen_nodes);
             }
             self.carry_out(process);
         }
@@ -168,17 +169,17 @@
         let Some(agreeing) = &mut of.agreeing else { return };
         let disk = self.disks.entry(of.node).or_default();
         match write {
-            Write::Found(founders) => {
+            Write::PersistFounders(founders) => {
                 disk.founders = Some(founders);
-                agreeing.part.founded();
+                agreeing.participant.founders_persisted();
             }
-            Write::Keep(work) => {
+            Write::Persist(work) => {
                 if let Some((from, _)) = work.log.first() {
                     disk.log.split_off(from);
                 }
                 disk.log.extend(work.log);
-                disk.vote = work.vote.or(disk.vote.take());
-                agreeing.part.kept();
+                disk.hard_state = work.hard_state.or(disk.hard_state.take());
+                agreeing.participant.persisted();
             }
         }
         self.carry_out(process);
@@ -189,14 +190,14 @@
         loop {
             let Some(Some(of)) = self.processes.get_mut(process) else { return };
             let Some(agreeing) = &mut of.agreeing else { return };
-            agreeing.part.due(self.now, of.fleet.id().incarnation);
+            agreeing.participant.due(self.now, of.fleet.id().incarnation);
             while let Some((from, bytes)) = of.fleet.next_user_message() {
-                agreeing.part.message(&from, &bytes);
+                agreeing.participant.message(&from, &bytes);
             }
-            let Some(order) = agreeing.part.order() else { return };
-            match order {
-                Order::Send(to, bytes) => drop(of.fleet.send_user_message(&to, &bytes)),
-                Order::Drain(_) => {
+            let Some(next_action) = agreeing.participant.next_action() else { return };
+            match next_action {
+                Action::Send(to, bytes) => drop(of.fleet.send_user_message(&to, &bytes)),
+                Action::Drain(_) => {
                     self.speak(process, Readiness::Draining);
                     self.drains += 1;
                     let out =
@@ -204,8 +205,8 @@
                     self.most_drained = self.most_drained.max(out);
                     self.most_out = self.most_out.max(out + self.long_dead());
                 }
-                Order::Found(founders) => self.write(process, Write::Found(founders)),
-                Order::Keep(work) => self.write(process, Write::Keep(work)),
+                Action::PersistFounders(founders) => self.write(process, Write::PersistFounders(founders)),
+                Action::Persist(work) => self.write(process, Write::Persist(work)),
             }
         }
     }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -19,7 +19,7 @@
 use hopmoor::config::Site as Settled;
 use hopmoor::pool::{Member as Listed, PoolList};
 use hopmoor::{ClassId, Millis, Outcome, Phase, Report, Settings, Tenant, TenantId};
-use hopmoor_record::{Header, Keep, RealDisk, Writer};
+use hopmoor_record::{Header, RealDisk, Retention, Writer};
 use hopmoor_standin::plan::{self, Act, Plan, What};
 use hopmoor_standin::truth::{Change, Kind, Truth};
 use rand::Rng;
@@ -376,7 +376,7 @@
         };
         let name = there.name.clone();
         self.with(node, |broker, now| {
-            if let Some(member) = broker.member_named(&name) {
+            if let Some(member) = broker.find_member(&name) {
                 broker.probed(now, member, outcome, report, message);
             }
         });
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -26,7 +26,7 @@
                 counters: Counters::NAMES.iter().map(|name| (*name).to_owned()).collect(),
                 ..Header::default()
             };
-            node.writer = Some(Writer::new(RealDisk, &folder, Keep::default(), header)?);
+            node.writer = Some(Writer::new(RealDisk, &folder, Retention::default(), header)?);
             self.set(now + FLUSH_MS, Due::Flush { node: at, run });
         }
         self.nodes[at].broker = Some(broker);
--- a/crates/world/tests/script.rs
+++ b/crates/world/tests/script.rs
@@ -1,5 +1,5 @@
 //! The scripted ten-minute incident, on stand-ins and injected time: what is found against what was done.
-use hopmoor_incident::{Findings, IncidentKind, RunEnd, State, analyse};
+use hopmoor_incident::{Findings, IncidentKind, MemberState, RunEnd, analyse};
 use hopmoor_record::{Folder, Merged};
 use hopmoor_standin::plan::{Plan, What};
 use hopmoor_standin::truth::{Kind, Truth};
@@ -18,7 +18,7 @@
 }
 
 /// Beginnings of what was found at members, in seconds from the start: what is told apart by the state.
-fn begun(findings: &Findings, states: &[State]) -> Vec<(f64, String, State)> {
+fn begun(findings: &Findings, states: &[MemberState]) -> Vec<(f64, String, MemberState)> {
     let at = |ms: f64| (ms - BEGAN) / 1_000.0;
     let all = findings.members.iter().flat_map(|member| member.spans.iter().map(move |span| (member, span)));
     let hit = all.filter(|(_, span)| states.contains(&span.state));
@@ -29,17 +29,23 @@
 fn the_ten_minute_incident_is_found_as_it_was_scripted() {
     let plan = Plan::ten_minutes();
     let (truth, findings) = run(&plan);
-    let troubles = [State::Silent, State::Dead, State::Refusing, State::Slow, State::Draining];
+    let troubles = [
+        MemberState::Silent,
+        MemberState::Dead,
+        MemberState::Refusing,
+        MemberState::Slow,
+        MemberState::Draining,
+    ];
     let mut seen = begun(&findings, &troubles);
     // Each change of the script is found, to the second, and ends when it did.
     for change in &truth.changes {
         let at = change.at_ms / 1_000.0;
         let state = match change.what {
-            Kind::Silent => State::Silent,
-            Kind::Slow => State::Slow,
-            Kind::Refusing => State::Refusing,
-            Kind::Draining => State::Draining,
-            Kind::Cold => State::Cold,
+            Kind::Silent => MemberState::Silent,
+            Kind::Slow => MemberState::Slow,
+            Kind::Refusing => MemberState::Refusing,
+            Kind::Draining => MemberState::Draining,
+            Kind::Cold => MemberState::Cold,
             Kind::Gone | Kind::Running | Kind::Deaf => continue,
         };
         let member = findings.members.iter().find(|member| member.name == change.subject).unwrap();
@@ -52,11 +58,11 @@
     // None is invented: whatever was found is in the script.
     for act in &plan.script {
         let (name, state) = match &act.what {
-            What::Silent { member, .. } => (member, State::Silent),
-            What::Slow { member, .. } => (member, State::Slow),
-            What::Refusing { member, .. } => (member, State::Refusing),
-            What::Drain { member, .. } => (member, State::Draining),
-            What::Kill { member } => (member, State::Dead),
+            What::Silent { member, .. } => (member, MemberState::Silent),
+            What::Slow { member, .. } => (member, MemberState::Slow),
+            What::Refusing { member, .. } => (member, MemberState::Refusing),
+            What::Drain { member, .. } => (member, MemberState::Draining),
+            What::Kill { member } => (member, MemberState::Dead),
             _ => continue,
         };
         let at = act.at_ms / 1_000.0;
@@ -108,7 +114,14 @@
 #[test]
 fn calm_has_no_incident_and_hardly_a_loss() {
     let (truth, findings) = run(&Plan::calm(120_000.0));
-    let states = [State::Silent, State::Dead, State::Refusing, State::Slow, State::Draining, State::Cold];
+    let states = [
+        MemberState::Silent,
+        MemberState::Dead,
+        MemberState::Refusing,
+        MemberState::Slow,
+        MemberState::Draining,
+        MemberState::Cold,
+    ];
     assert_eq!(begun(&findings, &states), []);
     assert_eq!(findings.incidents, []);
     assert!((truth.share_lost() - findings.service.share_lost).abs() < 0.002);
@@ -125,7 +138,7 @@
     let (_, findings) = run(&plan);
     assert!((findings.until - BEGAN - 70_000.0).abs() < 1_000.0);
     let silent = findings.members.iter().find(|member| member.name == "s-3").unwrap();
-    let span = silent.spans.iter().find(|span| span.state == State::Silent).unwrap();
+    let span = silent.spans.iter().find(|span| span.state == MemberState::Silent).unwrap();
     assert_eq!(span.until, None);
     assert_eq!(findings.nodes[0].runs[0].end, RunEnd::RecordsEnd);
     assert!(
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,7 +1,7 @@
 //! What operators call: one HTTP/1.1 call a connection, as a state machine that is fed bytes (RFC 9112).
 
 use crate::broker::{ClassCounts, Stats};
-use hopmoor_agree::{Most, Part, Permit, Scope};
+use hopmoor_agree::{BudgetLimit, Participant, Permit, Scope};
 use hopmoor_fleet::{self as fleet, View};
 use httparse::Status;
 use percent_encoding::percent_decode_str;
@@ -28,7 +28,7 @@
     /// What the fleet has agreed on.
     Permits,
     /// How many may be out from now on.
-    Budget(Scope, Most),
+    Budget(Scope, BudgetLimit),
 }
 
 /// Each place with the one method it takes.
@@ -110,8 +110,8 @@
                 let share =
                     value.strip_suffix('%').map(|share| share.parse().ok().filter(|share| *share <= 100));
                 most = match share {
-                    Some(share) => share.map(Most::Percent),
-                    None => value.parse().ok().map(Most::Number),
+                    Some(share) => share.map(BudgetLimit::Percent),
+                    None => value.parse().ok().map(BudgetLimit::Number),
                 };
             }
             _ => return Err(Refused::Query("known are 'most' and 'zone'")),
@@ -165,17 +165,17 @@
 }
 
 /// What a node knows of what is agreed, as JSON. What stands in the log only a voter knows.
-pub fn permits(name: &str, part: &Part) -> Vec<u8> {
+pub fn permits(name: &str, participant: &Participant) -> Vec<u8> {
     let mut body = json!({
-        "node": name, "asks": part.asking().told(), "permit": part.asking().fence(), "votes": part.voter().is_some(),
-        "silent": part.silent(),
+        "node": name, "asks": participant.permit_client().status_text(), "permit": participant.permit_client().fence(), "votes": participant.voter().is_some(),
+        "silent": participant.not_voting_reason(),
     });
-    if let Some(voter) = part.voter() {
+    if let Some(voter) = participant.voter() {
         let state = voter.state();
-        let budget = |(scope, most): (&Scope, Most)| {
+        let budget = |(scope, most): (&Scope, BudgetLimit)| {
             let most = match most {
-                Most::Number(number) => number.to_string(),
-                Most::Percent(share) => format!("{share}%"),
+                BudgetLimit::Number(number) => number.to_string(),
+                BudgetLimit::Percent(share) => format!("{share}%"),
             };
             json!({"scope": scope.to_string(), "most": most})
         };
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!(whole(b"GET /-/reddy HTTP/1.1\r\n\r\n"), Some(Err(Refused::Unknown)));
     assert_eq!(whole(b"GET /-/ready?a=1 HTTP/1.0\r\n\r\n"), Some(Ok(Ask::Ready)));
     let budget = whole(b"PUT /-/budget?most=25%25&zone=a%20b HTTP/1.1\r\n\r\n");
-    assert_eq!(budget, Some(Ok(Ask::Budget(Scope::Zone("a b".into()), Most::Percent(25)))));
+    assert_eq!(budget, Some(Ok(Ask::Budget(Scope::Zone("a b".into()), BudgetLimit::Percent(25)))));
     for bad in ["most=101%25", "most=-1", "zone=a", "most=1&zone=", "most=1&pool=x", "most=%ff"] {
         let call = format!("PUT /-/budget?{bad} HTTP/1.1\r\n\r\n");
         assert!(matches!(whole(call.as_bytes()), Some(Err(Refused::Query(_)))), "{bad}");
--- a/src/broker/adoption/tests.rs
+++ b/src/broker/adoption/tests.rs
@@ -129,7 +129,7 @@
     let id = adopting(&mut harness, "z", 40_000.0);
     for second in 1..15 {
         harness.run(1_000.0 * f64::from(second));
-        harness.broker.call_failed(harness.now, CallFailure::Down);
+        harness.broker.discovery_call_failed(harness.now, CallFailure::Down);
     }
     assert_eq!(opened(&harness.commands(id)), Vec::<String>::new());
     harness.list(list(true, vec![member("a", Phase::Serving), member("z", Phase::Serving)]));
--- a/src/broker/flows.rs
+++ b/src/broker/flows.rs
@@ -160,7 +160,7 @@
             .collect();
         for (id, committed, written) in ids {
             if committed {
-                self.move_client(now, id, record::Reason::Negotiation);
+                self.move_client(now, id, record::MoveReason::Negotiation);
             } else {
                 let outcome = if written { Outcome::Cancelled } else { Outcome::NotSent };
                 self.driver_commands.push_back(DriverCommand::Front(id, Command::Abandon));
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between the broker and its fronts and driver, in both directions.
 
 use crate::api::*;
-use hopmoor_record::Reason;
+use hopmoor_record::MoveReason;
 
 /// Number of a transaction. Each client connection has one transaction.
 pub type TransactionId = RequestId;
@@ -203,7 +203,7 @@
         started_ago_ms: Option<Millis>,
     },
     /// A client was moved away from a member, for this reason.
-    Moved(TransactionId, String, Reason),
+    Moved(TransactionId, String, MoveReason),
     /// A transaction was rejected or failed.
     Unserved {
         /// The transaction.
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -192,7 +192,7 @@
     }
 
     /// Whether the lease on the current list is valid.
-    pub fn list_holds(&self, now: Millis) -> bool {
+    pub fn list_lease_valid(&self, now: Millis) -> bool {
         self.lease.is_valid(now)
     }
 
@@ -217,8 +217,8 @@
     }
 
     /// Updates the lease after a failed call to discovery.
-    pub fn call_failed(&mut self, now: Millis, failure: CallFailure) {
-        self.lease.call_failed(now, failure);
+    pub fn discovery_call_failed(&mut self, now: Millis, failure: CallFailure) {
+        self.lease.discovery_call_failed(now, failure);
         if self.lease.is_valid(now) {
             self.unpark(now);
         }
@@ -293,7 +293,7 @@
     }
 
     /// Returns the number of a listed member.
-    pub fn member_named(&self, name: &str) -> Option<BackendId> {
+    pub fn find_member(&self, name: &str) -> Option<BackendId> {
         self.pool.find(name)
     }
 
@@ -477,7 +477,7 @@
             }
             Action::Move { id } => {
                 if matches!(self.transactions.get(&id), Some(t) if t.stage == Stage::Established) {
-                    self.move_client(now, id, record::Reason::Relief);
+                    self.move_client(now, id, record::MoveReason::Relief);
                 }
             }
             Action::Refuse { id, retry_after_ms } => self.answer(now, id, Command::Reject(retry_after_ms)),
--- a/src/broker/moves.rs
+++ b/src/broker/moves.rs
@@ -4,7 +4,7 @@
 use super::recorder::member_id;
 use super::{Broker, Command, DriverCommand, Due, LogLine, Stage, Transaction, TransactionId};
 use crate::api::*;
-use hopmoor_record::{self as record, Reason};
+use hopmoor_record::{self as record, MoveReason};
 
 /// Duration over which the clients of a draining member are moved.
 const DRAIN_MOVE_DURATION_MS: Millis = 5_000.0;
@@ -30,7 +30,7 @@
 
     /// Moves a client: its connection, or the negotiation so far, is closed cleanly and the client told to
     /// come again.
-    pub(super) fn move_client(&mut self, now: Millis, id: TransactionId, reason: Reason) {
+    pub(super) fn move_client(&mut self, now: Millis, id: TransactionId, reason: MoveReason) {
         let Some(t) = self.forget(id) else { return };
         let Some(backend) = t.member else { return };
         self.counters.moved += 1;
@@ -49,7 +49,7 @@
         let Some(t) = self.transactions.get(&id).filter(|t| t.stage == Stage::Established) else { return };
         let (member, stood_ms) = (t.member, Some((now - t.attempt_started_at) as f32));
         if let Some(member) = member {
-            let (member, reason) = (member_id(member), Reason::Member);
+            let (member, reason) = (member_id(member), MoveReason::Member);
             self.recorder
                 .append(now, || record::Moved { transaction: id.0, member, reason, stood_ms }.into());
         }
@@ -110,7 +110,7 @@
         let established = self.transactions.values().filter(|t| t.stage == Stage::Established).count();
         self.step_scheduled = match self.leaving.moves_due(now, established) {
             Some(due) => {
-                self.move_clients(now, due, Reason::Leaving, |_| true);
+                self.move_clients(now, due, MoveReason::Leaving, |_| true);
                 self.timers.set(now + MOVE_STEP_MS, Due::LeaveStep);
                 true
             }
@@ -122,7 +122,7 @@
     /// whether or not it tells them itself.
     pub(super) fn drain_step(&mut self, now: Millis, member: BackendId, mut schedule: MoveSchedule) {
         if !self.pool.serving(member) {
-            let reason = if self.pool.listed(member) { Reason::Draining } else { Reason::Gone };
+            let reason = if self.pool.listed(member) { MoveReason::Draining } else { MoveReason::Gone };
             let at_member = |t: &Transaction| t.member == Some(member);
             let clients =
                 self.transactions.values().filter(|t| t.stage == Stage::Established && at_member(t)).count();
@@ -137,7 +137,7 @@
         &mut self,
         now: Millis,
         max: usize,
-        reason: Reason,
+        reason: MoveReason,
         which: impl Fn(&Transaction) -> bool,
     ) {
         let candidates = self.transactions.iter().filter(|(_, t)| t.stage == Stage::Established && which(t));
--- a/src/config.rs
+++ b/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::api::*;
 use crate::pool::{PoolList, RawList};
-use hopmoor_record::Keep;
+use hopmoor_record::Retention;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     /// A folder of the node's own.
     pub folder: PathBuf,
     /// How much is kept.
-    pub keep: Keep,
+    pub retention: Retention,
 }
 
 /// How a node finds the others of its fleet, and is found.
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -14,13 +14,13 @@
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 /// Returns the request for the whole list.
-pub fn whole(authority: &str) -> String {
+pub fn full_list_request(authority: &str) -> String {
     format!("GET /v1/endpoints HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n")
 }
 
 /// Returns the request for changes after version `seq`; discovery waits up to `wait_ms` for one (long
 /// polling).
-pub fn since(authority: &str, seq: u64, wait_ms: u64) -> String {
+pub fn changes_request(authority: &str, seq: u64, wait_ms: u64) -> String {
     format!(
         "GET /v1/endpoints?since={seq}&timeout_ms={wait_ms} HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n"
     )
--- a/src/drill.rs
+++ b/src/drill.rs
@@ -373,7 +373,7 @@
     }
 
     /// Returns the number of request ids held for all nodes.
-    pub fn held_ids(&self) -> usize {
+    pub fn tracked_requests(&self) -> usize {
         self.nodes.values().map(|node| node.requests.len()).sum()
     }
 }
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -67,7 +67,7 @@
 
     /// Handles a failed call. The lease is renewed if discovery is down, as no change counts as known
     /// meanwhile.
-    pub fn call_failed(&mut self, now: Millis, failure: CallFailure) {
+    pub fn discovery_call_failed(&mut self, now: Millis, failure: CallFailure) {
         if failure == CallFailure::Down {
             self.expires_at = self.expires_at.max(now + self.duration);
         }
--- a/src/freshness/tests.rs
+++ b/src/freshness/tests.rs
@@ -13,9 +13,9 @@
 #[test]
 fn a_lease_is_renewed_while_discovery_is_down_but_not_while_it_is_overloaded() {
     let mut lease = Lease::none(750.0);
-    lease.call_failed(0.0, CallFailure::Unanswered);
+    lease.discovery_call_failed(0.0, CallFailure::Unanswered);
     assert!(!lease.is_valid(0.0));
-    lease.call_failed(2_000.0, CallFailure::Down);
+    lease.discovery_call_failed(2_000.0, CallFailure::Down);
     assert!(lease.is_valid(8_000.0) && !lease.is_valid(8_500.0));
 }
 
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,6 +1,6 @@
 //! Converts the membership view into the node list that drain agreement works with.
 
-use hopmoor_agree::{SeenNode, Standing};
+use hopmoor_agree::{NodeStatus, SeenNode};
 use hopmoor_fleet::{NodeView, Readiness, State, View};
 
 /// Returns the nodes of the view as entries for the replicated log.
@@ -9,18 +9,18 @@
         name: node.id.name.to_string(),
         zone: node.info.as_ref().map(|info| info.zone.clone()).unwrap_or_default(),
         incarnation: node.id.incarnation,
-        standing: standing(node),
+        status: status(node),
     });
     nodes.collect()
 }
 
-fn standing(node: &NodeView) -> Standing {
+fn status(node: &NodeView) -> NodeStatus {
     match (node.state, node.info.as_ref().map(|info| info.ready)) {
-        (State::Dead, _) => Standing::Dead,
-        (State::Left, _) | (_, Some(Readiness::Left)) => Standing::Left,
-        (_, Some(Readiness::Serving)) => Standing::Serving,
-        (_, Some(Readiness::Draining)) => Standing::Draining,
-        (_, Some(Readiness::Ending)) => Standing::Ending,
-        _ => Standing::NotReady,
+        (State::Dead, _) => NodeStatus::Dead,
+        (State::Left, _) | (_, Some(Readiness::Left)) => NodeStatus::Left,
+        (_, Some(Readiness::Serving)) => NodeStatus::Serving,
+        (_, Some(Readiness::Draining)) => NodeStatus::Draining,
+        (_, Some(Readiness::Ending)) => NodeStatus::Ending,
+        _ => NodeStatus::NotReady,
     }
 }
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -8,8 +8,8 @@
 use crate::config;
 use crate::membership;
 use hopmoor_agree::voter::TICK_MS;
-use hopmoor_agree::{Entry, Most, Note, Order, Part, Scope};
-use hopmoor_vote::Folder;
+use hopmoor_agree::{Action, BudgetLimit, Entry, Participant, Scope, VoterStatus};
+use hopmoor_vote::VoterStore;
 use slog::{Drain, info, warn};
 use std::cell::RefCell;
 use std::io;
@@ -30,7 +30,7 @@
 /// What this node has to do with the agreement.
 pub(super) struct Agree {
     folder: PathBuf,
-    part: RefCell<Part>,
+    participant: RefCell<Participant>,
     wake: Notify,
 }
 
@@ -41,8 +41,12 @@
         // raft's own lines on each vote and append are for those who build it.
         let log = slog::LevelFilter::new(log.clone(), slog::Level::Warning).fuse();
         let log = slog::Logger::root(log, slog::o!("part" => "raft"));
-        let part = Part::new(name, &config.voters, u64::from_le_bytes(drawn()?), log);
-        Ok(Agree { folder: config.folder.clone(), part: RefCell::new(part), wake: Notify::new() })
+        let participant = Participant::new(name, &config.voters, u64::from_le_bytes(drawn()?), log);
+        Ok(Agree {
+            folder: config.folder.clone(),
+            participant: RefCell::new(participant),
+            wake: Notify::new(),
+        })
     }
 
     /// Messages may have come.
@@ -56,26 +60,26 @@
         if standing == Err(Unready::Ending) {
             return admin::answer(409, "", "the node ends\n");
         }
-        let mut part = self.part.borrow_mut();
+        let mut participant = self.participant.borrow_mut();
         match drawn() {
-            Ok(number) => part.ask(u128::from_le_bytes(number)),
+            Ok(number) => participant.request_permit(u128::from_le_bytes(number)),
             Err(error) => return admin::answer(503, "", &format!("{error}\n")),
         }
         self.wake.notify_one();
-        let told = part.asking().told().unwrap_or_default();
+        let status_text = participant.permit_client().status_text().unwrap_or_default();
         let status = if standing == Err(Unready::Draining) { 200 } else { 202 };
-        admin::answer(status, "", &format!("{told}\n"))
+        admin::answer(status, "", &format!("{status_text}\n"))
     }
 
     /// The node takes clients again, or asks no more.
     pub(super) fn resume(&self) {
-        self.part.borrow_mut().give_back();
+        self.participant.borrow_mut().release();
         self.wake.notify_one();
     }
 
     /// An operator sets a budget: it stands once it is in the log.
-    pub(super) fn set_budget(&self, scope: Scope, most: Most) -> Vec<u8> {
-        let asked = self.part.borrow_mut().set_budget(&Entry::Budget(scope, most));
+    pub(super) fn set_budget(&self, scope: Scope, most: BudgetLimit) -> Vec<u8> {
+        let asked = self.participant.borrow_mut().set_budget(&Entry::Budget(scope, most));
         self.wake.notify_one();
         match asked {
             true => admin::answer(202, "", "asked; /-/permits shows it once it is agreed\n"),
@@ -84,7 +88,7 @@
     }
 
     pub(super) fn permits(&self, name: &str) -> Vec<u8> {
-        admin::permits(name, &self.part.borrow())
+        admin::permits(name, &self.participant.borrow())
     }
 }
 
@@ -96,13 +100,13 @@
 
 /// Takes part until the link is closed.
 pub(super) async fn run(node: Rc<Node>, link: Rc<Link>, agree: Rc<Agree>) {
-    let part = &agree.part;
-    let votes = part.borrow().is_to_vote();
+    let participant = &agree.participant;
+    let votes = participant.borrow().is_voter();
     let folder = if votes { open(&node, &link, &agree).await } else { None };
     if let Some(folder) = &folder {
         match folder.read() {
-            Ok(found) => part.borrow_mut().opened(found),
-            Err(error) => part.borrow_mut().stop(&error.to_string()),
+            Ok(persist_founders) => participant.borrow_mut().folder_opened(persist_founders),
+            Err(error) => participant.borrow_mut().stop(&error.to_string()),
         }
     }
     let mut ticks = tokio::time::interval(Duration::from_millis(TICK_MS));
@@ -114,17 +118,17 @@
             () = agree.wake.notified() => false,
         };
         let now = node.clock.now() as u64;
-        part.borrow_mut().due(now, link.id().incarnation);
+        participant.borrow_mut().due(now, link.id().incarnation);
         while let Some((from, bytes)) = link.next_user_message() {
-            part.borrow_mut().message(&from, &bytes);
+            participant.borrow_mut().message(&from, &bytes);
         }
         if ticked {
-            part.borrow_mut().tick(now);
+            participant.borrow_mut().tick(now);
         }
-        if now >= looks && part.borrow().wants_view() {
+        if now >= looks && participant.borrow().is_leader() {
             looks = now + LOOK_MS;
             let seen_nodes = membership::seen_nodes(&link.view(&node));
-            part.borrow_mut().sees(&seen_nodes);
+            participant.borrow_mut().update_view(&seen_nodes);
         }
         carry_out(&node, &link, &agree, folder.as_ref()).await;
         tell(&node, &agree);
@@ -132,20 +136,20 @@
 }
 
 fn tell(node: &Node, agree: &Agree) {
-    while let Some(note) = agree.part.borrow_mut().note() {
-        match note {
-            Note::Votes { term } => info!(node.log, "votes"; "term" => term),
-            Note::Silent(why) => warn!(node.log, "does not vote"; "why" => why),
+    while let Some(voter_status) = agree.participant.borrow_mut().voter_status() {
+        match voter_status {
+            VoterStatus::Voting { term } => info!(node.log, "votes"; "term" => term),
+            VoterStatus::NotVoting(why) => warn!(node.log, "does not vote"; "why" => why),
         }
     }
 }
 
-async fn open(node: &Node, link: &Link, agree: &Agree) -> Option<Arc<Folder>> {
+async fn open(node: &Node, link: &Link, agree: &Agree) -> Option<Arc<VoterStore>> {
     for _ in 0..TRIES {
-        match Folder::open(&agree.folder) {
+        match VoterStore::open(&agree.folder) {
             Ok(folder) => return Some(Arc::new(folder)),
             Err(_) if link.is_closed() => return None,
-            Err(error) => agree.part.borrow_mut().stop(&error.to_string()),
+            Err(error) => agree.participant.borrow_mut().stop(&error.to_string()),
         }
         tell(node, agree);
         tokio::time::sleep(AGAIN).await;
@@ -153,39 +157,41 @@
     None
 }
 
-async fn carry_out(node: &Rc<Node>, link: &Rc<Link>, agree: &Agree, folder: Option<&Arc<Folder>>) {
-    let part = &agree.part;
+async fn carry_out(node: &Rc<Node>, link: &Rc<Link>, agree: &Agree, folder: Option<&Arc<VoterStore>>) {
+    let participant = &agree.participant;
     loop {
-        let Some(order) = part.borrow_mut().order() else { break };
-        match (order, folder) {
-            (Order::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
-            (Order::Drain(permit), _) => {
+        let Some(next_action) = participant.borrow_mut().next_action() else { break };
+        match (next_action, folder) {
+            (Action::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
+            (Action::Drain(permit), _) => {
                 let done = node.with(|broker, now| broker.drain(now));
                 // Said at once: a later coming that is believed to serve would end the permit.
                 super::fleet::speak(node, link);
                 info!(node.log, "drains by a permit"; "permit" => permit, "done" => done);
             }
-            (Order::Found(founders), Some(folder)) => {
+            (Action::PersistFounders(founders), Some(folder)) => {
                 let folder = folder.clone();
-                let done = tokio::task::spawn_blocking(move || folder.found(&founders)).await;
+                let done = tokio::task::spawn_blocking(move || folder.persist_founders(&founders)).await;
                 match done.map_err(|error| error.to_string()).and_then(|done| done.map_err(|e| e.to_string()))
                 {
-                    Ok(()) => part.borrow_mut().founded(),
-                    Err(error) => part.borrow_mut().stop(&error),
+                    Ok(()) => participant.borrow_mut().founders_persisted(),
+                    Err(error) => participant.borrow_mut().stop(&error),
                 }
             }
-            (Order::Keep(work), Some(folder)) => {
+            (Action::Persist(work), Some(folder)) => {
                 // What need not wait for the disk goes now; clients are served meanwhile.
                 super::fleet::carry_out(node, link);
                 let folder = folder.clone();
-                let done = tokio::task::spawn_blocking(move || folder.keep(&work)).await;
+                let done = tokio::task::spawn_blocking(move || folder.persist(&work)).await;
                 match done.map_err(|error| error.to_string()).and_then(|done| done.map_err(|e| e.to_string()))
                 {
-                    Ok(()) => part.borrow_mut().kept(),
-                    Err(error) => part.borrow_mut().stop(&error),
+                    Ok(()) => participant.borrow_mut().persisted(),
+                    Err(error) => participant.borrow_mut().stop(&error),
                 }
             }
-            (Order::Found(_) | Order::Keep(_), None) => part.borrow_mut().stop("it has no folder"),
+            (Action::PersistFounders(_) | Action::Persist(_), None) => {
+                participant.borrow_mut().stop("it has no folder")
+            }
         }
     }
     super::fleet::carry_out(node, link);
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -466,7 +466,7 @@
     let from = stream.peer_addr()?;
     while !on.is_done() {
         let length = stream.read_u32_le().await? as usize;
-        if length > MAX_FRAME_BYTES + hopmoor_seal::OVERHEAD {
+        if length > MAX_FRAME_BYTES + hopmoor_seal::OVERHEAD_BYTES {
             refused(node, link, from, Refused::Malformed);
             break;
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -384,7 +384,7 @@
     tokio::task::spawn_local(async move {
         tokio::time::sleep(Duration::from_millis(READY_MS)).await;
         let mut waited = READY_MS;
-        while waited < READY_LATEST_MS && !late.with(|broker, now| broker.list_holds(now)) {
+        while waited < READY_LATEST_MS && !late.with(|broker, now| broker.list_lease_valid(now)) {
             tokio::time::sleep(Duration::from_millis(READY_STEP_MS)).await;
             waited += READY_STEP_MS;
         }
--- a/src/net/recorder.rs
+++ b/src/net/recorder.rs
@@ -63,7 +63,7 @@
             site: site_header(&config.site),
             counters: Counters::NAMES.iter().map(|name| (*name).to_owned()).collect(),
         };
-        let writer = Writer::new(RealDisk, &records.folder, records.keep, header).map_err(|error| {
+        let writer = Writer::new(RealDisk, &records.folder, records.retention, header).map_err(|error| {
             let folder = records.folder.display();
             io::Error::new(error.kind(), format!("records.folder: {folder}: {error}"))
         })?;
@@ -158,9 +158,9 @@
         lost.store(writer.lost(), Relaxed);
         while let Some(notice) = writer.notice() {
             match notice {
-                Notice::Failing(error) => error!(log, "records not written"; "error" => %error),
+                Notice::WriteFailed(error) => error!(log, "records not written"; "error" => %error),
                 Notice::Recovered(lost) => info!(log, "records written again"; "lost" => lost),
-                Notice::Untidy(path, error) => {
+                Notice::CleanupFailed(path, error) => {
                     warn!(log, "segment left"; "path" => path.display().to_string(), "error" => %error)
                 }
             }
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::api::Millis;
 use crate::broker::ListError;
-use crate::discovery::{Call, Reply, since, whole};
+use crate::discovery::{Call, Reply, changes_request, full_list_request};
 use crate::freshness::{CallFailure, PROMPT_REFUSAL_MS};
 use crate::pool::decode;
 use slog::warn;
@@ -60,7 +60,7 @@
             error = calls(&node, address, &zones, &mut fresh, &mut anew) => error,
         };
         let FailedCall { failure, error, again } = error;
-        node.with(|broker, now| broker.call_failed(now, failure));
+        node.with(|broker, now| broker.discovery_call_failed(now, failure));
         if again {
             // What it had to tell counts as told: there is no time to lose.
             warn!(node.log, "discovery failed"; "error" => error, "again" => "at once");
@@ -94,9 +94,9 @@
     while node.watching.get() {
         let wait = if first || slow || fresh.is_some() { FIRST_WAIT_MS } else { WAIT_MS };
         let request = if fresh.is_some() || std::mem::take(anew) {
-            whole(&authority)
+            full_list_request(&authority)
         } else {
-            since(&authority, node.broker.borrow().pool_seq(), wait)
+            changes_request(&authority, node.broker.borrow().pool_seq(), wait)
         };
         let late = if first { LATE_IN_LINE } else { LATE };
         let limit = Duration::from_millis(wait) + late;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -6,7 +6,7 @@
 use crate::inventory::{self, Inventory};
 use crate::pool::{PoolList, name_hash};
 use crate::xmpp::XmppSettings;
-use hopmoor_record::Keep;
+use hopmoor_record::Retention;
 use hopmoor_seal::Keys;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -153,7 +153,7 @@
 impl RawRecords {
     /// Checks the values and that the folder can be written to.
     fn check(self, above: &Path) -> Result<Records, ConfigError> {
-        let base = Keep::default();
+        let base = Retention::default();
         let segment_bytes = self.segment_bytes.unwrap_or(base.segment_bytes);
         if !(4_096..=64 << 20).contains(&segment_bytes) {
             return Err(ConfigError("records.segment_bytes: not from 4096 to 67108864".into()));
@@ -172,8 +172,9 @@
         let probe = folder.join(format!(".writable-{}", std::process::id()));
         std::fs::write(&probe, b"").map_err(about)?;
         std::fs::remove_file(&probe).map_err(about)?;
-        let keep = Keep { segment_bytes, keep_bytes, keep_for: Duration::from_secs_f64(hours * 3_600.0) };
-        Ok(Records { folder, keep })
+        let retention =
+            Retention { segment_bytes, keep_bytes, keep_for: Duration::from_secs_f64(hours * 3_600.0) };
+        Ok(Records { folder, retention })
     }
 }
 
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -10,16 +10,16 @@
 /// A fleet, its pool and the requests that arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmupScenario {
-    pub gateways: u32,
+    pub nodes: u32,
     pub members: u64,
     /// How many of the members have just started; with zones, all members of the first zone instead.
-    pub cold: u64,
+    pub cold_members: u64,
     /// Requests a second that the tenant's quota covers.
     pub rate: f64,
     /// Requests that arrive, as a multiple of `rate`.
-    pub load: f64,
+    pub load_factor: f64,
     /// Extra requests that arrive together as the members start, as a multiple of `rate`.
-    pub storm: f64,
+    pub surge: f64,
     /// Number of groups; 0 if requests have no group.
     pub groups: u64,
     /// A node's traffic differs from the others' by up to this factor, upwards and downwards.
@@ -32,7 +32,7 @@
     pub zones: u32,
     /// Whether the nodes of the first zone restart together with the cold members and have lost what they
     /// knew.
-    pub restarted: bool,
+    pub nodes_restarted: bool,
 }
 
 impl WarmupScenario {
@@ -43,7 +43,7 @@
 
     /// Whether a member, by its index, has just started.
     fn is_cold(self, member: u64) -> bool {
-        if self.zones > 1 { self.in_first_zone(member) } else { member < self.cold }
+        if self.zones > 1 { self.in_first_zone(member) } else { member < self.cold_members }
     }
 }
 
@@ -67,7 +67,7 @@
     }];
     let settings = |index: u32| Settings {
         zone: ZoneId(index % scenario.zones),
-        balancers: scenario.gateways,
+        balancers: scenario.nodes,
         tenants: tenants.clone(),
         start_capacity: scenario.start_capacity,
         warm_up_ms: scenario.warm_up_ms,
@@ -80,7 +80,7 @@
     };
     let mut rng = Lcg(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let start_ms = 30_000.0;
-    let mut fleet: Vec<FastNode> = (0..scenario.gateways)
+    let mut fleet: Vec<FastNode> = (0..scenario.nodes)
         .map(|index| FastNode::new(settings(index), seed * 10_000 + u64::from(index)))
         .collect();
     let backends = |started_at: Option<f64>| -> Vec<BackendInfo> {
@@ -97,11 +97,11 @@
     }
     // Shares of the traffic: some nodes get several times the mean.
     let shares: Vec<f64> =
-        (0..scenario.gateways).map(|_| scenario.share_spread.powf(2.0 * rng.next() - 1.0)).collect();
+        (0..scenario.nodes).map(|_| scenario.share_spread.powf(2.0 * rng.next() - 1.0)).collect();
     let total_share: f64 = shares.iter().sum();
     let mut arrivals: Vec<(f64, usize)> = Vec::new();
     for (index, share) in shares.iter().enumerate() {
-        let rate_per_ms = scenario.rate * scenario.load * share / total_share / 1_000.0;
+        let rate_per_ms = scenario.rate * scenario.load_factor * share / total_share / 1_000.0;
         let mut time = 0.0;
         loop {
             time += -(1.0 - rng.next()).ln() / rate_per_ms;
@@ -111,11 +111,9 @@
             arrivals.push((time, index));
         }
     }
-    for _ in 0..(scenario.storm * scenario.rate) as usize {
-        arrivals.push((
-            start_ms + 100.0 + 900.0 * rng.next(),
-            (rng.next() * f64::from(scenario.gateways)) as usize,
-        ));
+    for _ in 0..(scenario.surge * scenario.rate) as usize {
+        arrivals
+            .push((start_ms + 100.0 + 900.0 * rng.next(), (rng.next() * f64::from(scenario.nodes)) as usize));
     }
     arrivals.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut sent: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
@@ -125,7 +123,7 @@
         if time >= start_ms && !members_started {
             members_started = true;
             for (index, node) in (0_u32..).zip(&mut fleet) {
-                if scenario.restarted && scenario.in_first_zone(u64::from(index)) {
+                if scenario.nodes_restarted && scenario.in_first_zone(u64::from(index)) {
                     *node = FastNode::new(settings(index), seed * 20_000 + u64::from(index));
                 }
                 node.give(
@@ -138,7 +136,7 @@
             ends.peek().copied().filter(|e| (e.0.0 as f64) < time)
         {
             ends.pop();
-            if !(scenario.restarted
+            if !(scenario.nodes_restarted
                 && members_started
                 && scenario.in_first_zone(index as u64)
                 && (end as f64) < start_ms)
@@ -242,12 +240,12 @@
 /// Two settings as operators state them: overload factor 3 in spans of 3 s starting at an eighth, and factor
 /// 4 in spans of 1 s starting at a third.
 pub const SLOW: WarmupScenario = WarmupScenario {
-    gateways: 30,
+    nodes: 30,
     members: 12,
-    cold: 6,
+    cold_members: 6,
     rate: 12.0,
-    load: 0.8,
-    storm: 0.0,
+    load_factor: 0.8,
+    surge: 0.0,
     groups: 20,
     share_spread: 3.0,
     overload_factor: 3.0,
@@ -255,11 +253,11 @@
     start_capacity: 0.12,
     warm_up_ms: 24_000.0,
     zones: 1,
-    restarted: false,
+    nodes_restarted: false,
 };
 pub const QUICK: WarmupScenario = WarmupScenario {
     members: 10,
-    cold: 5,
+    cold_members: 5,
     rate: 20.0,
     groups: 30,
     overload_factor: 4.0,
@@ -278,7 +276,8 @@
     groups: 30,
     ..SLOW
 };
-pub const TWENTY: WarmupScenario = WarmupScenario { gateways: 20, members: 10, cold: 3, rate: 20.0, ..SLOW };
+pub const TWENTY: WarmupScenario =
+    WarmupScenario { nodes: 20, members: 10, cold_members: 3, rate: 20.0, ..SLOW };
 
 /// The largest excess over these seeds, and the smallest mean that the new members of one seed got.
 pub fn worst(scenario: WarmupScenario, seeds: u64) -> (f64, f64) {
--- a/tests/drill.rs
+++ b/tests/drill.rs
@@ -71,11 +71,11 @@
         r#"{"PONG":{"relay":"relay/0","code":"success","backend":"b:1","tookMs":3.0,"pressure":[4.0,0.5]}}"#,
     );
     drill.items(r#"{"VIEW":{"relay":"relay/0","list":0,"index":2,"form":"broken"}}"#);
-    assert_eq!(drill.host.held_ids(), 1);
+    assert_eq!(drill.host.tracked_requests(), 1);
     drill.items(&format!(
         r#"{{"RESULT":{{"relay":"relay/0","xid":"x-1","code":"success","finished":true,"backend":"{backend}","try":0,"tookMs":18.5}}}}"#
     ));
-    assert_eq!(drill.host.held_ids(), 0);
+    assert_eq!(drill.host.tracked_requests(), 0);
 }
 
 #[test]
@@ -98,14 +98,14 @@
     let left = drill.items(r#"{"CLIENT_LEFT":{"relay":"relay/0","xid":"x-1"}}"#);
     assert_eq!(named(&left, "STOP_ATTEMPT").unwrap()["try"], 0);
     drill.items(r#"{"TAKEN_OVER":{"relay":"relay/0","xid":"x-2","service":0,"owner":0,"graceMs":9.0,"backend":"b:1"}}"#);
-    assert_eq!(drill.host.held_ids(), 2);
+    assert_eq!(drill.host.tracked_requests(), 2);
     let end = |xid, code| {
         format!(
             r#"{{"RESULT":{{"relay":"relay/0","xid":"{xid}","code":"{code}","finished":true,"backend":"b:1","try":0,"tookMs":1.0}}}}"#
         )
     };
     drill.items(&format!("{},{}", end("x-1", "withdrawn"), end("x-2", "broken")));
-    assert_eq!(drill.host.held_ids(), 0);
+    assert_eq!(drill.host.tracked_requests(), 0);
 }
 
 #[test]
@@ -138,7 +138,7 @@
         {{"VIEW":{{"relay":"relay/0","list":3,"index":1,"form":"stale_copy"}}}}"#,
         ask("x-1")
     ));
-    assert!(named(&output, "DELIVER").is_none() && drill.host.held_ids() == 0);
+    assert!(named(&output, "DELIVER").is_none() && drill.host.tracked_requests() == 0);
     assert!(named(&drill.items(&ask("x-2")), "DELIVER").is_some());
 }
 
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -9,9 +9,9 @@
 #[test]
 fn twenty_and_thirty_gateways_together_spare_newcomers_in_storms() {
     for play in [SLOW, QUICK, LONG, TWENTY] {
-        for storm in [0.0, 5.0, 15.0] {
+        for surge in [0.0, 5.0, 15.0] {
             for groups in [play.groups, 0] {
-                let (most, least) = worst(WarmupScenario { storm, groups, ..play }, 4);
+                let (most, least) = worst(WarmupScenario { surge, groups, ..play }, 4);
                 assert!(most <= 0.0, "{most:+.2} too many");
                 assert!(least >= 2.0, "newcomers stand idle");
             }
@@ -21,17 +21,24 @@
 
 #[test]
 fn three_hundred_gateways_spare_newcomers_where_requests_have_no_groups() {
-    let play = WarmupScenario { gateways: 300, members: 80, cold: 40, rate: 80.0, groups: 0, ..SLOW };
-    for storm in [0.0, 10.0] {
-        let (most, least) = worst(WarmupScenario { storm, ..play }, 2);
+    let play = WarmupScenario { nodes: 300, members: 80, cold_members: 40, rate: 80.0, groups: 0, ..SLOW };
+    for surge in [0.0, 10.0] {
+        let (most, least) = worst(WarmupScenario { surge, ..play }, 2);
         assert!(most <= 0.0 && least >= 2.0, "{most:+.2} too many");
     }
 }
 
 #[test]
 fn three_hundred_gateways_spare_newcomers_at_a_large_groups_place() {
-    let play =
-        WarmupScenario { gateways: 300, members: 80, cold: 40, rate: 80.0, load: 1.5, groups: 56, ..SLOW };
+    let play = WarmupScenario {
+        nodes: 300,
+        members: 80,
+        cold_members: 40,
+        rate: 80.0,
+        load_factor: 1.5,
+        groups: 56,
+        ..SLOW
+    };
     let (most, least) = worst(play, 2);
     assert!(most <= 0.0 && least >= 2.0, "{most:+.2} too many");
 }
@@ -41,9 +48,16 @@
 /// its even part.
 #[test]
 fn a_zone_that_comes_back_cold_with_its_gateways_is_spared() {
-    let play =
-        WarmupScenario { gateways: 300, members: 84, rate: 160.0, load: 0.6, groups: 56, zones: 6, ..SLOW };
+    let play = WarmupScenario {
+        nodes: 300,
+        members: 84,
+        rate: 160.0,
+        load_factor: 0.6,
+        groups: 56,
+        zones: 6,
+        ..SLOW
+    };
     let all = [(false, 0.0), (true, 0.0), (false, 2.0), (true, 2.0)];
-    let all = all.map(|(restarted, storm)| worst(WarmupScenario { restarted, storm, ..play }, 3));
+    let all = all.map(|(nodes_restarted, surge)| worst(WarmupScenario { nodes_restarted, surge, ..play }, 3));
     assert!(all.iter().all(|(most, least)| *most <= 0.0 && *least >= 2.0), "{all:.2?}");
 }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,5 +1,5 @@
 //! The recorder in the real program, over real sockets: a short incident, a kill, a restart, a folder taken away.
-use hopmoor_incident::{Findings, RunEnd, State, analyse};
+use hopmoor_incident::{Findings, MemberState, RunEnd, analyse};
 use hopmoor_record::{Event, Folder, Merged};
 use hopmoor_standin::sockets::{Client, Discovery, Member, Stage};
 use std::io::{BufRead, BufReader};
@@ -167,20 +167,20 @@
     };
     let mut done = Vec::new();
     wait(2_000);
-    done.push((unix_ms(), "s-2", State::Silent, true));
+    done.push((unix_ms(), "s-2", MemberState::Silent, true));
     silent.store(2, Relaxed);
     members[1].silent(true);
     wait(4_000);
     members[1].silent(false);
     silent.store(0, Relaxed);
-    done.push((unix_ms(), "s-2", State::Silent, false));
+    done.push((unix_ms(), "s-2", MemberState::Silent, false));
     wait(4_800);
     set(2, "Terminating");
-    done.push((unix_ms(), "s-3", State::Draining, true));
+    done.push((unix_ms(), "s-3", MemberState::Draining, true));
     wait(6_200);
     set(2, "Gone");
     members[2].kill();
-    done.push((unix_ms(), "s-3", State::Gone, true));
+    done.push((unix_ms(), "s-3", MemberState::Gone, true));
     wait(7_000);
     node.signal("-KILL");
     let killed = unix_ms();
@@ -198,7 +198,7 @@
         assert!(hit, "{name} {state:?} {begins} at {at}: {:#?}", findings.members);
     }
     let invented =
-        spans().filter(|(_, span)| span.state.is_trouble() || span.state == State::Draining).count();
+        spans().filter(|(_, span)| span.state.is_fault() || span.state == MemberState::Draining).count();
     assert_eq!(invented, 2, "{:#?}", findings.incidents);
     let run = &findings.nodes[0].runs[0];
     assert!(run.end == RunEnd::RecordsEnd && (run.until - killed).abs() < 500.0, "{run:?} {killed}");
