--- a/crates/ops/src/console/mod.rs
+++ b/crates/ops/src/console/mod.rs
@@ -33,8 +33,8 @@
 }
 
 fn speed(text: &str) -> Result<f64, String> {
-    let speed: f64 = text.parse().map_err(|_| format!("'{text}' is no number"))?;
-    if (0.1..=1_000.0).contains(&speed) { Ok(speed) } else { Err("not from 0.1 to 1000".into()) }
+    let speed: f64 = text.parse().map_err(|_| format!("'{text}' is not a number"))?;
+    if (0.1..=1_000.0).contains(&speed) { Ok(speed) } else { Err("must be from 0.1 to 1000".into()) }
 }
 
 impl Console {
--- a/crates/ops/src/console/source.rs
+++ b/crates/ops/src/console/source.rs
@@ -79,7 +79,7 @@
     pub fn seek(&mut self, to_ms: f64, dashboard: &mut Dashboard) -> bool {
         let Source::Replay(replay) = self else { return false };
         if to_ms < replay.position {
-            // The board cannot undo steps: going back starts over from the first record.
+            // The dashboard cannot undo steps: going back starts over from the first record.
             let Ok(records) = merge_folders(&replay.folders) else { return false };
             replay.records = records;
             replay.next = replay.records.next();
--- a/crates/ops/src/fleet.rs
+++ b/crates/ops/src/fleet.rs
@@ -1,5 +1,5 @@
 //! `fleet status`, `fleet compare` and `fleet keygen`: nodes' views of their fleet, and the keys that seal
-//! gossip.
+//! messages between nodes.
 
 use crate::Failed;
 use crate::drains::DrainCommand;
--- a/crates/ops/src/report.rs
+++ b/crates/ops/src/report.rs
@@ -223,12 +223,12 @@
     let has_fault = |member: &&Member| member.spans.iter().any(|span| span.state.is_fault());
     let changed_only = |member: &&Member| !member.spans.is_empty() && !has_fault(member);
     let unchanged = |member: &&Member| member.spans.is_empty();
-    let mut all: Vec<&Member> = members.iter().filter(has_fault).collect();
-    all.extend(members.iter().filter(changed_only));
-    all.extend(members.iter().filter(unchanged));
-    all.truncate(MAX_MEMBER_LANES);
-    all.sort_by(|a, b| hopmoor_incident::analysis::natural_order(&a.name, &b.name));
-    all
+    let mut drawn: Vec<&Member> = members.iter().filter(has_fault).collect();
+    drawn.extend(members.iter().filter(changed_only));
+    drawn.extend(members.iter().filter(unchanged));
+    drawn.truncate(MAX_MEMBER_LANES);
+    drawn.sort_by(|a, b| hopmoor_incident::analysis::natural_order(&a.name, &b.name));
+    drawn
 }
 
 /// A name cut to the 18 characters that fit into the left margin.
@@ -305,9 +305,15 @@
             @for state in order {
                 @for span in member.spans.iter().filter(|span| span.state == state) {
                     @let until = span.until.unwrap_or(findings.until);
-                    @let inset = match state { MemberState::Draining => 3.0, MemberState::Silent | MemberState::Dead | MemberState::Refusing => 5.0, _ => 0.0 };
+                    @let inset = match state {
+                        MemberState::Draining => 3.0,
+                        MemberState::Silent | MemberState::Dead | MemberState::Refusing => 5.0,
+                        _ => 0.0
+                    };
                     @let incident = findings.incidents.iter().find(|incident| {
-                        incident.kind == IncidentKind::Member(state) && incident.subject == member.name && incident.from == span.from
+                        incident.kind == IncidentKind::Member(state)
+                            && incident.subject == member.name
+                            && incident.from == span.from
                     });
                     (span_bar(state.word(), axis, span.from, until, y + inset, LANE_HEIGHT - 4.0 - 2.0 * inset,
                         incident,
