--- a/crates/ops/src/console/view.rs
+++ b/crates/ops/src/console/view.rs
@@ -101,6 +101,7 @@
     Line::from(seconds.iter().map(bar).collect::<Vec<_>>())
 }
 
+/// A right-aligned cell.
 fn right_cell(text: String) -> Cell<'static> {
     Cell::from(Line::from(text).right_aligned())
 }
@@ -110,7 +111,7 @@
     let rows = app.dashboard.rows();
     let shown = usize::from(area.height.saturating_sub(2));
     let first = app.first_member.min(rows.len().saturating_sub(shown));
-    // What the other columns and the space between columns leave.
+    // The width that is left by the other columns and the spaces between them.
     let sparkline_width = usize::from(area.width).saturating_sub(12 + 17 + 6 + 6 + 7 + 8 + 6).max(4);
     let lines =
         rows.iter().skip(first).take(shown).map(|row| {
@@ -163,6 +164,7 @@
     frame.render_widget(Table::new(lines, widths).header(header).block(block), area);
 }
 
+/// The tenants with their demand, budget and use, summed over all nodes; no more rows than fit.
 fn draw_tenants(frame: &mut Frame, app: &App, area: Rect) {
     if area.height == 0 {
         return;
--- a/crates/ops/src/fleet.rs
+++ b/crates/ops/src/fleet.rs
@@ -86,19 +86,25 @@
     /// `alive`, `suspect`, `dead` or `left`.
     state: String,
     incarnation: u64,
+    /// The address for other nodes.
     advertise: String,
     /// Milliseconds since the node of the view last heard from it.
     heard_ms: Option<u64>,
     #[serde(default)]
     zone: String,
+    /// The address for clients.
     #[serde(default)]
     clients: String,
+    /// Whether the node takes clients; empty until it has announced that.
     #[serde(default)]
     ready: String,
+    /// Digest of the node's executable.
     #[serde(default)]
     program: String,
+    /// Digest of the node's configuration.
     #[serde(default)]
     config: String,
+    /// How many more connections the node can take.
     #[serde(default)]
     room: u32,
 }
@@ -247,7 +253,7 @@
         let mut holders: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for view in views {
             let member = view.members.iter().find(|member| member.name == name);
-            // Dead nodes are not compared: a node that joined after another one died has never heard of it.
+            // Dead nodes are not compared: a node that joined after another one had died has never heard of it.
             let state = match member {
                 Some(member) if member.is_present() => member.comparable_state(),
                 _ => "not there".to_owned(),
@@ -304,16 +310,16 @@
             None => generate_key(1)?,
             Some(file) => {
                 let old = read_keys(file)?;
-                let (newest_key_id, sealing) = (old.newest_key_id(), old.sealing_key_id());
+                let (newest_key_id, sealing_key_id) = (old.newest_key_id(), old.sealing_key_id());
                 if self.turn {
                     old.with_sealing_key(newest_key_id)
                 } else if self.drop_old {
-                    old.with_only_key(sealing)
+                    old.with_only_key(sealing_key_id)
                 } else {
                     let number = newest_key_id.checked_add(1).ok_or_else(|| {
                         Failed("the newest key has the highest possible number: no key can be added".into())
                     })?;
-                    Keys::merged(&[old, generate_key(number)?], sealing)
+                    Keys::merged(&[old, generate_key(number)?], sealing_key_id)
                 }
                 .ok_or_else(|| Failed(format!("{}: no such key", file.display())))?
             }
--- a/crates/ops/src/report.rs
+++ b/crates/ops/src/report.rs
@@ -391,7 +391,10 @@
                     y=(compact(base - (below + part) * units_per_transaction))
                     width=(compact((right - left).max(1.0)))
                     height=(compact((part * units_per_transaction).max(0.5))) {
-                    title { (findings.classes.get(class).map_or("", |class| class.name.as_str())) ": " (compact(*part)) " at " (time::clock(from)) }
+                    title {
+                        (findings.classes.get(class).map_or("", |class| class.name.as_str())) ": " (compact(*part))
+                        " at " (time::clock(from))
+                    }
                 }
             }
         }
@@ -413,7 +416,7 @@
                     (compact(scale * part))
                 }
                 line.grid x1=(compact(LEFT_MARGIN)) x2=(compact(PLOT_WIDTH - RIGHT_MARGIN))
-            y1=(compact(y(scale * part))) y2=(compact(y(scale * part))) {}
+                    y1=(compact(y(scale * part))) y2=(compact(y(scale * part))) {}
             }
             path.lostarea d=(area_path(&curves.asked, axis, curves.step_ms, base, y)) {}
             path style="fill:var(--panel)" d=(area_path(&curves.served, axis, curves.step_ms, base, y)) {}
@@ -467,7 +470,7 @@
     }
 }
 
-/// What classes or tenants asked for and got; `heading` is the first column's.
+/// A table of what classes or tenants asked for and got; `heading` is the heading of the first column.
 fn totals_table(heading: &str, rows: &[ServiceTotals]) -> Markup {
     html! {
         div.wide { table {
--- a/crates/page/src/time.rs
+++ b/crates/page/src/time.rs
@@ -4,8 +4,8 @@
 use jiff::tz::TimeZone;
 
 fn zoned(ms: f64) -> Option<jiff::Zoned> {
-    let stamp = Timestamp::from_millisecond(ms.round() as i64).ok()?;
-    Some(stamp.to_zoned(TimeZone::UTC))
+    let timestamp = Timestamp::from_millisecond(ms.round() as i64).ok()?;
+    Some(timestamp.to_zoned(TimeZone::UTC))
 }
 
 fn format(ms: f64, pattern: &str) -> String {
@@ -38,8 +38,8 @@
 /// # Errors
 /// A message of one line that names the accepted forms.
 pub fn parse(text: &str, near_ms: f64) -> Result<f64, String> {
-    if let Ok(stamp) = text.parse::<Timestamp>() {
-        return Ok(stamp.as_millisecond() as f64);
+    if let Ok(timestamp) = text.parse::<Timestamp>() {
+        return Ok(timestamp.as_millisecond() as f64);
     }
     if let Ok(ms) = text.parse::<f64>()
         && ms.is_finite()
@@ -53,7 +53,7 @@
     on_day.map(|time| time.timestamp().as_millisecond() as f64).ok_or_else(invalid)
 }
 
-/// Formats a duration, as in `340 ms`, `12.4 s`, `3 min 20 s`, `2 h 5 min`.
+/// Formats a duration, as in `340 ms`, `12.4 s`, `3 min 20 s`, `2 h 05 min`.
 pub fn duration(ms: f64) -> String {
     let s = ms / 1_000.0;
     if s < 1.0 {
