--- a/crates/ops/src/fleet.rs
+++ b/crates/ops/src/fleet.rs
@@ -253,7 +253,7 @@
         let mut holders: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         for view in views {
             let member = view.members.iter().find(|member| member.name == name);
-            // Dead nodes are not compared: a node that joined after another one had died has never heard of it.
+            // Dead nodes are not compared: a node that joined after another had died never heard of it.
             let state = match member {
                 Some(member) if member.is_present() => member.comparable_state(),
                 _ => "not there".to_owned(),
