--- a/crates/ops/src/demo.rs
+++ b/crates/ops/src/demo.rs
@@ -53,7 +53,7 @@
         // Fails if the folder exists: records of two simulations in one folder would read as restarts of the
         // same nodes.
         std::fs::create_dir(folder).map_err(with_path)?;
-        let truth = hopmoor_world::play(&plan, Some(folder)).map_err(with_path)?;
+        let truth = hopmoor_world::simulate(&plan, Some(folder)).map_err(with_path)?;
         if self.truth {
             let text = serde_json::to_string_pretty(&truth).map_err(|error| Failed(error.to_string()))?;
             std::fs::write(folder.join("truth.json"), text).map_err(with_path)?;
