--- a/crates/ops/src/console/tests.rs
+++ b/crates/ops/src/console/tests.rs
@@ -62,10 +62,10 @@
 #[test]
 fn a_live_console_follows_a_node_over_its_restart() {
     let folder = tempfile::tempdir().unwrap();
-    let act = |at_ms, what| ScriptEntry { at_ms, what };
+    let entry = |at_ms, what| ScriptEntry { at_ms, what };
     let script = vec![
-        act(8_000.0, ScriptAction::KillNode { node: "n-1".into() }),
-        act(10_000.0, ScriptAction::StartNode { node: "n-1".into() }),
+        entry(8_000.0, ScriptAction::KillNode { node: "n-1".into() }),
+        entry(10_000.0, ScriptAction::StartNode { node: "n-1".into() }),
     ];
     let plan = Plan { nodes: vec!["n-1".into()], script, ..Plan::calm(20_000.0) };
     simulate(&plan, Some(folder.path())).unwrap();
