--- a/crates/standin/examples/scale.rs
+++ b/crates/standin/examples/scale.rs
@@ -1,14 +1,22 @@
-//! What a node needs as the fleet grows: the same day at 200, 800 and 3,200 hosts, each row of the table of growth printed against
-//! its bound. The node is the real program; hosts, discovery and clients are stand-ins.
+//! Measures what a node needs as the fleet grows. The same simulated day runs at 200, 800 and 3,200 hosts,
+//! and each row of the growth table is printed against its bound. The node is the real program; hosts (pool
+//! members), discovery and clients are stand-ins.
 //!
 //! ```text
 //! cargo build --release && cargo run --release -p hopmoor-standin --example scale
 //! ```
 //!
-//! The traffic of a node stays the same, and so does the ratio of hosts to nodes (the settings tell the number of nodes; one
-//! runs). A day: connections from before the run come as the node begins to listen, with a list that names every other host; the
-//! list is whole only when discovery, crowded and slow, has told it; each second one host of fifty changes its state; discovery falls
-//! silent; the node is told to end, and a second process starts as the first did. The least of the table's figures is taken at 200.
+//! The traffic of one node stays the same at each size, and so does the ratio of hosts to nodes. The settings
+//! state the number of nodes; only one node runs. A simulated day goes like this:
+//!
+//! 1. The node starts with a list that names every other host, and connections from before the run reconnect
+//!    as soon as it listens. The list is complete only when discovery, which is overloaded and slow, has
+//!    delivered it.
+//! 2. Each second one host in fifty changes its state.
+//! 3. Discovery stops answering for a while.
+//! 4. The node is told to shut down, and a second process starts in the same way as the first.
+//!
+//! The bounds are computed from the figures measured at 200 hosts.
 
 use clap::Parser;
 use hopmoor_standin::sockets::{Client, Delivery, Discovery, Listed, Member, Stage};
@@ -22,30 +30,32 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Hosts at the usual size, and the nodes that go with them: 3,200 hosts go with 900.
-const USUAL_HOSTS: usize = 200;
-const HOSTS_TO_NODES: f64 = 3_200.0 / 900.0;
-/// Connections that stood before, at a node.
-const STANDING: usize = 40;
-/// New connections a second at a node, and how long each is wanted.
-const ARRIVALS: f64 = 5.0;
-const LIFE: Duration = Duration::from_secs(8);
-const DEADLINE: Duration = Duration::from_millis(2_000);
-/// How often a client sends a line.
-const LINE: Duration = Duration::from_secs(2);
-/// Descriptors that a process may hold.
-const SOCKETS: usize = 608;
-/// A host of so many changes its state each second.
-const CHANGES: usize = 50;
-const TICK: Duration = Duration::from_millis(50);
-/// The first process lives so long, and the second; discovery is silent within the first.
-const FIRST: Duration = Duration::from_secs(14);
-const SECOND: Duration = Duration::from_secs(8);
-const SILENT: std::ops::Range<Duration> = Duration::from_secs(8)..Duration::from_secs(11);
-/// From SIGTERM to SIGKILL: the longest deadline (2 s here) and 0.7 s.
-const KILL: Duration = Duration::from_millis(2_700);
+/// The size that the bounds are computed from. The ratio of hosts to nodes is that of 3,200 hosts to 900
+/// nodes.
+const BASE_HOSTS: usize = 200;
+const HOSTS_PER_NODE: f64 = 3_200.0 / 900.0;
+/// Connections that clients held through the node before the run.
+const STANDING_CONNECTIONS: usize = 40;
+/// Rate of new connections at the node, and how long a client wants each of them.
+const ARRIVALS_PER_SECOND: f64 = 5.0;
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(8);
+const SETUP_DEADLINE: Duration = Duration::from_millis(2_000);
+/// How often a client sends a line, and how long it waits for the echo.
+const LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// Limit of open descriptors in the node's configuration.
+const MAX_DESCRIPTORS: usize = 608;
+/// One host in this many changes its state each second.
+const HOSTS_PER_CHANGE: usize = 50;
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+/// How long the first and the second process run, and when discovery is silent, counted from a process's
+/// start. The outage lies within the run of the first process.
+const FIRST_LIFETIME: Duration = Duration::from_secs(14);
+const SECOND_LIFETIME: Duration = Duration::from_secs(8);
+const DISCOVERY_OUTAGE: std::ops::Range<Duration> = Duration::from_secs(8)..Duration::from_secs(11);
+/// Time from SIGTERM to SIGKILL: the longest deadline (2 s here) plus 0.7 s.
+const KILL_DELAY: Duration = Duration::from_millis(2_700);
 
 #[derive(Parser)]
 /// What a node needs at 200, 800 and 3,200 hosts, against the bounds on its growth.
@@ -60,11 +70,11 @@
     #[arg(long)]
     program: Option<PathBuf>,
     /// Sizes, in hosts; the first is the usual one.
-    #[arg(long, value_delimiter = ',', default_values_t = [USUAL_HOSTS, 800, 3_200])]
+    #[arg(long, value_delimiter = ',', default_values_t = [BASE_HOSTS, 800, 3_200])]
     hosts: Vec<usize>,
 }
 
-/// What one day took.
+/// What the node needed in one simulated day. Its name and its fields are printed with `{:?}`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Needs {
     cpu_s: f64,
@@ -73,7 +83,7 @@
     connections: f64,
     list_kb: f64,
     served: f64,
-    /// Connections from before that did not come up where they stood: any is one too many.
+    /// Earlier connections that were not served again by the member that had held them; none is allowed.
     lost: f64,
 }
 
@@ -90,7 +100,8 @@
         ]
     }
 
-    /// The bounds of growth, for so many thousand hosts: the table of STANDING.
+    /// Returns the growth bounds (the table of STANDING) at this many thousand hosts, from these needs at the
+    /// first size.
     fn bounds(&self, thousands: f64) -> [f64; 7] {
         [
             1.4 * self.cpu_s + 0.02 + 0.03 * thousands,
@@ -117,15 +128,15 @@
     }
 }
 
-/// What clients saw.
+/// Results as the clients saw them.
 #[derive(Default)]
-struct Seen {
-    asked: AtomicU64,
+struct ClientTotals {
+    attempted: AtomicU64,
     served: AtomicU64,
-    astray: Mutex<Vec<String>>,
+    lost_connections: Mutex<Vec<String>>,
 }
 
-/// A node's process, and what the system says that it used.
+/// A node's process, and the resources that it has used according to `/proc`.
 struct Process {
     child: Child,
     address: String,
@@ -135,52 +146,53 @@
 }
 
 impl Process {
-    fn start(program: &Path, config: &Path) -> Result<Process, Failure> {
+    fn start(program: &Path, config: &Path) -> Result<Process, BoxError> {
         let mut command = Command::new(program);
         command.arg("serve").env("NODE_CONFIG", config).stderr(Stdio::piped());
         let mut child = command.spawn()?;
-        let mut log = BufReader::new(child.stderr.take().ok_or("no log")?);
+        let mut log = BufReader::new(child.stderr.take().ok_or("the node's log is not captured")?);
         let mut line = String::new();
         while !line.contains("listening") {
             line.clear();
             if log.read_line(&mut line)? == 0 {
-                return Err("the node did not start".into());
+                return Err("the node ended before it listened".into());
             }
         }
-        let port = line.split("127.0.0.1:").nth(1).ok_or("no address")?;
+        let port = line.split("127.0.0.1:").nth(1).ok_or("the node's log line has no address")?;
         let port: String = port.chars().take_while(char::is_ascii_digit).collect();
         std::thread::spawn(move || log.lines().map_while(Result::ok).for_each(drop));
         let address = format!("127.0.0.1:{port}");
         Ok(Process { child, address, cpu_s: 0.0, memory_mb: 0.0, descriptors: 0 })
     }
 
-    /// Reads what it has used so far; nothing once it has ended.
-    fn look(&mut self) {
-        let place = PathBuf::from(format!("/proc/{}", self.child.id()));
+    /// Samples the resources used so far; once the process has ended, the last values stay.
+    fn sample_usage(&mut self) {
+        let proc_folder = PathBuf::from(format!("/proc/{}", self.child.id()));
         let nanoseconds = |task: std::fs::DirEntry| {
             let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
             text.split(' ').next()?.parse::<f64>().ok()
         };
-        if let Ok(tasks) = std::fs::read_dir(place.join("task")) {
+        if let Ok(tasks) = std::fs::read_dir(proc_folder.join("task")) {
             let used: f64 = tasks.flatten().filter_map(nanoseconds).sum();
             self.cpu_s = self.cpu_s.max(used / 1e9);
         }
-        let status = std::fs::read_to_string(place.join("status")).unwrap_or_default();
+        let status = std::fs::read_to_string(proc_folder.join("status")).unwrap_or_default();
         let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let peak = peak.and_then(|line| line.trim().trim_end_matches(" kB").parse::<f64>().ok());
         self.memory_mb = peak.map_or(self.memory_mb, |kb| kb / 1_024.0);
-        let open = std::fs::read_dir(place.join("fd")).map_or(0, Iterator::count);
+        let open = std::fs::read_dir(proc_folder.join("fd")).map_or(0, Iterator::count);
         self.descriptors = self.descriptors.max(open);
     }
 
-    /// Sends SIGTERM, and SIGKILL as early as it may come; clients go on meanwhile.
-    async fn end(&mut self) -> Result<(), Failure> {
+    /// Sends SIGTERM, then SIGKILL at the earliest time at which the platform may send it. Clients go on
+    /// meanwhile.
+    async fn stop(&mut self) -> Result<(), BoxError> {
         let id = self.child.id().to_string();
         Command::new("kill").args(["-TERM", &id]).status()?;
-        let told = Instant::now();
-        while told.elapsed() < KILL && self.child.try_wait()?.is_none() {
-            self.look();
-            sleep(TICK).await;
+        let signalled = Instant::now();
+        while signalled.elapsed() < KILL_DELAY && self.child.try_wait()?.is_none() {
+            self.sample_usage();
+            sleep(SAMPLE_INTERVAL).await;
         }
         self.child.kill()?;
         self.child.wait()?;
@@ -195,17 +207,17 @@
     }
 }
 
-struct Day {
+struct SimulatedDay {
     stage: Stage,
     hosts: Vec<Member>,
     discovery: Discovery,
-    draw: StdRng,
-    seen: Arc<Seen>,
+    rng: StdRng,
+    totals: Arc<ClientTotals>,
     folder: tempfile::TempDir,
 }
 
-fn name(at: usize) -> String {
-    format!("s-{at:08x}")
+fn host_name(index: usize) -> String {
+    format!("s-{index:08x}")
 }
 
 fn unix_ms() -> f64 {
@@ -213,40 +225,43 @@
     now.map_or(0.0, |now| now.as_secs_f64() * 1_000.0)
 }
 
-impl Day {
-    fn new(hosts: usize, seed: u64) -> Result<Day, Failure> {
+impl SimulatedDay {
+    fn new(hosts: usize, seed: u64) -> Result<SimulatedDay, BoxError> {
         let stage = Stage::new()?;
         let discovery = Discovery::start(&stage)?;
         let hosts =
-            (0..hosts).map(|at| Member::start(&stage, at as u32 + 1)).collect::<Result<Vec<_>, _>>()?;
-        let listed = |(at, host): (usize, &Member)| {
-            (name(at), Listed { dial: host.address(), health: "Ready", born_ms: 0.0 })
+            (0..hosts).map(|index| Member::start(&stage, index as u32 + 1)).collect::<Result<Vec<_>, _>>()?;
+        let listed = |(index, host): (usize, &Member)| {
+            (host_name(index), Listed { dial: host.address(), health: "Ready", born_ms: 0.0 })
         };
         discovery.set_all(&hosts.iter().enumerate().map(listed).collect::<Vec<_>>());
         let folder = tempfile::tempdir()?;
-        let draw = StdRng::seed_from_u64(seed);
-        Ok(Day { stage, hosts, discovery, draw, seen: Arc::default(), folder })
+        let rng = StdRng::seed_from_u64(seed);
+        Ok(SimulatedDay { stage, hosts, discovery, rng, totals: Arc::default(), folder })
     }
 
-    /// A configuration as the platform gives it, with a list that names every other host.
-    fn config(&self) -> Result<PathBuf, Failure> {
-        let entry = |(at, host): (usize, &Member)| {
+    /// Writes a configuration as the platform gives it, with a list that names every other host.
+    fn config(&self) -> Result<PathBuf, BoxError> {
+        let entry = |(index, host): (usize, &Member)| {
             let dial = host.address();
-            serde_json::json!({"host": name(at), "dial": dial, "site": "a", "block": 0, "health": "Ready",
-                "share": 1.0, "born_ms": 0})
+            serde_json::json!({"host": host_name(index), "dial": dial, "site": "a", "block": 0,
+                "health": "Ready", "share": 1.0, "born_ms": 0})
         };
         let known: Vec<_> = self.hosts.iter().enumerate().step_by(2).map(entry).collect();
-        let nodes = (self.hosts.len() as f64 / HOSTS_TO_NODES).round();
+        let nodes = (self.hosts.len() as f64 / HOSTS_PER_NODE).round();
         let config = serde_json::json!({
             "name": "n", "listen": "127.0.0.1:0", "discovery": self.discovery.address(), "seed": "8c1f",
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": SOCKETS},
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": MAX_DESCRIPTORS},
             "known": {"seq": 1, "whole": true, "hosts": known},
             "settings": {
                 "balancers": nodes, "zones": ["a"], "discovery": "on_request", "weights": "rough",
-                "profiles": [{"name": "chat", "effect": "free", "aimMs": 300, "deadlineMs": 2_000, "importance": 1}],
-                "tenants": [{"name": "acme", "quotaPerS": 2.0 * ARRIVALS * nodes}],
+                "profiles": [
+                    {"name": "chat", "effect": "free", "aimMs": 300, "deadlineMs": 2_000, "importance": 1}
+                ],
+                "tenants": [{"name": "acme", "quotaPerS": 2.0 * ARRIVALS_PER_SECOND * nodes}],
                 "report": {"how": "pull", "fields": ["x0"]},
-                "domain": {"tellsDelay": true, "messageAimMs": [50], "tenantQuotaConnections": [200.0 * nodes]},
+                "domain": {"tellsDelay": true, "messageAimMs": [50],
+                    "tenantQuotaConnections": [200.0 * nodes]},
                 "caps": {"connectTimeoutMs": 250, "probing": true, "keepaliveMs": 5_000, "mostTries": 6,
                     "cancel": true},
                 "invariants": {"askWithinMs": 10_000, "coldMs": 24_000, "fallMs": 3_000, "overloadFactor": 3,
@@ -258,146 +273,155 @@
         Ok(file)
     }
 
-    /// Where a connection from before stood: at hosts spread over the whole list, every other one known at the start.
-    fn standing_host(&self, at: usize) -> usize {
-        at * self.hosts.len() / STANDING + at % 2
+    /// Returns the host that held an earlier connection. These hosts are spread over the whole list, and the
+    /// node knows every other one of them at its start.
+    fn standing_host(&self, index: usize) -> usize {
+        index * self.hosts.len() / STANDING_CONNECTIONS + index % 2
     }
 
-    fn stood_at(&self, host: usize) -> bool {
-        (0..STANDING).any(|at| self.standing_host(at) == host)
+    fn has_standing_connection(&self, host: usize) -> bool {
+        (0..STANDING_CONNECTIONS).any(|index| self.standing_host(index) == host)
     }
 
-    /// Connections that stood at hosts spread over the whole list come back, and talk on.
-    fn come_back(&self, address: &str, life: Duration) {
-        for at in 0..STANDING {
-            let host = self.standing_host(at);
-            let (address, seen) = (address.to_owned(), self.seen.clone());
-            let line = format!("OPEN b{at} k{at} c=chat,t=acme,d=4294967,g=g{},at={}", at % 10, name(host));
+    /// Reconnects the earlier connections, each asking for the host that held it, and keeps them in use.
+    fn reconnect_standing(&self, address: &str, lifetime: Duration) {
+        for index in 0..STANDING_CONNECTIONS {
+            let host = self.standing_host(index);
+            let (address, totals) = (address.to_owned(), self.totals.clone());
+            let line = format!(
+                "OPEN b{index} k{index} c=chat,t=acme,d=4294967,g=g{},at={}",
+                index % 10,
+                host_name(host)
+            );
             self.stage.handle().spawn(async move {
-                let wanted = format!("UP {}", host + 1);
-                let answer = talk(&address, &line, life, Duration::from_secs(20)).await;
-                if answer != wanted
-                    && let Ok(mut astray) = seen.astray.lock()
+                let expected = format!("UP {}", host + 1);
+                let answer = set_up_and_talk(&address, &line, lifetime, Duration::from_secs(20)).await;
+                if answer != expected
+                    && let Ok(mut lost_connections) = totals.lost_connections.lock()
                 {
-                    astray.push(format!("{line}: {answer:?}"));
+                    lost_connections.push(format!("{line}: {answer:?}"));
                 }
             });
         }
     }
 
-    /// One new connection.
-    fn arrive(&mut self, address: &str, number: u64) {
+    /// Starts a client with one new connection.
+    fn open_connection(&mut self, address: &str, number: u64) {
         let line = format!(
             "OPEN n{number} k{number} c=chat,t=acme,d={},g=g{}",
-            DEADLINE.as_millis(),
-            self.draw.random_range(0..50)
+            SETUP_DEADLINE.as_millis(),
+            self.rng.random_range(0..50)
         );
-        let (address, seen) = (address.to_owned(), self.seen.clone());
+        let (address, totals) = (address.to_owned(), self.totals.clone());
         self.stage.handle().spawn(async move {
-            seen.asked.fetch_add(1, Relaxed);
-            let answer = talk(&address, &line, LIFE, DEADLINE).await;
-            seen.served.fetch_add(u64::from(answer.starts_with("UP ")), Relaxed);
+            totals.attempted.fetch_add(1, Relaxed);
+            let answer = set_up_and_talk(&address, &line, CONNECTION_LIFETIME, SETUP_DEADLINE).await;
+            totals.served.fetch_add(u64::from(answer.starts_with("UP ")), Relaxed);
         });
     }
 
-    /// One host of fifty changes: it drains, is gone, or is there again, cold.
-    fn change(&mut self) {
-        let changes = self.hosts.len() / CHANGES;
+    /// Changes one host in fifty: it drains, is gone, or is back and cold.
+    fn change_hosts(&mut self) {
+        let change_count = self.hosts.len() / HOSTS_PER_CHANGE;
         let changed = |_| {
-            let at = self.draw.random_range(0..self.hosts.len());
-            let (health, born_ms) = match self.draw.random_range(0..4) {
+            let index = self.rng.random_range(0..self.hosts.len());
+            let (health, born_ms) = match self.rng.random_range(0..4) {
                 0 => ("Terminating", 0.0),
-                // What stood at a host that has gone can't be taken up there.
-                1 if !self.stood_at(at) => ("Gone", 0.0),
+                // A connection can't be resumed at a host that is gone.
+                1 if !self.has_standing_connection(index) => ("Gone", 0.0),
                 _ => ("Ready", unix_ms()),
             };
-            (name(at), Listed { dial: self.hosts[at].address(), health, born_ms })
+            (host_name(index), Listed { dial: self.hosts[index].address(), health, born_ms })
         };
-        let changed: Vec<_> = (0..changes).map(changed).collect();
+        let changed: Vec<_> = (0..change_count).map(changed).collect();
         self.discovery.set_all(&changed);
     }
 
-    /// One process's life.
-    async fn life(&mut self, program: &Path, life: Duration) -> Result<Process, Failure> {
-        let slow = Delivery {
+    /// Runs one process of the node for its lifetime, with load, host changes and discovery faults.
+    async fn run_process(&mut self, program: &Path, lifetime: Duration) -> Result<Process, BoxError> {
+        let slow_discovery = Delivery {
             begins_after: Duration::from_millis(500),
             over: Duration::from_millis(1_500),
             silent: false,
             changes: true,
         };
-        self.discovery.deliver(slow);
+        self.discovery.deliver(slow_discovery);
         let mut process = Process::start(program, &self.config()?)?;
         let address = process.address.clone();
-        self.come_back(&address, life);
-        let began = Instant::now();
+        self.reconnect_standing(&address, lifetime);
+        let started = Instant::now();
         let (mut arrivals, mut seconds) = (0, 0);
-        while began.elapsed() < life {
-            sleep(TICK).await;
-            process.look();
-            let now = began.elapsed();
-            // The first list has come by then: changes are quick from here on.
-            let delivery = if now < Duration::from_secs(6) {
-                slow
+        while started.elapsed() < lifetime {
+            sleep(SAMPLE_INTERVAL).await;
+            process.sample_usage();
+            let run_time = started.elapsed();
+            // The complete list has been delivered within 6 s; from then on, changes are delivered without
+            // delay.
+            let delivery = if run_time < Duration::from_secs(6) {
+                slow_discovery
             } else {
                 Delivery { changes: true, ..Delivery::default() }
             };
-            self.discovery.deliver(Delivery { silent: SILENT.contains(&now), ..delivery });
-            while (arrivals as f64) < now.as_secs_f64() * ARRIVALS {
+            self.discovery.deliver(Delivery { silent: DISCOVERY_OUTAGE.contains(&run_time), ..delivery });
+            while (arrivals as f64) < run_time.as_secs_f64() * ARRIVALS_PER_SECOND {
                 arrivals += 1;
-                self.arrive(&address, arrivals);
+                self.open_connection(&address, arrivals);
             }
-            if now.as_secs() > seconds {
-                seconds = now.as_secs();
+            if run_time.as_secs() > seconds {
+                seconds = run_time.as_secs();
                 if seconds > 6 {
-                    self.change();
+                    self.change_hosts();
                 }
             }
         }
-        process.end().await?;
+        process.stop().await?;
         Ok(process)
     }
 
-    async fn play(mut self, program: &Path) -> Result<Needs, Failure> {
+    async fn run(mut self, program: &Path) -> Result<Needs, BoxError> {
         let mut needs = Needs::default();
-        for life in [FIRST, SECOND] {
-            let process = self.life(program, life).await?;
+        for lifetime in [FIRST_LIFETIME, SECOND_LIFETIME] {
+            let process = self.run_process(program, lifetime).await?;
             needs.cpu_s += process.cpu_s;
             needs.memory_mb = needs.memory_mb.max(process.memory_mb);
             needs.descriptors = needs.descriptors.max(process.descriptors as f64);
         }
         needs.connections = self.hosts.iter().map(Member::connections).sum::<u64>() as f64;
         needs.list_kb = self.discovery.written() as f64 / 1_024.0;
-        needs.served = self.seen.served.load(Relaxed) as f64 / self.seen.asked.load(Relaxed).max(1) as f64;
-        let astray = self.seen.astray.lock().map_err(|_| "a client panicked")?;
-        astray.iter().take(3).for_each(|what| println!("  lost: {what}"));
-        needs.lost = astray.len() as f64;
+        needs.served =
+            self.totals.served.load(Relaxed) as f64 / self.totals.attempted.load(Relaxed).max(1) as f64;
+        let lost_connections = self.totals.lost_connections.lock().map_err(|_| "a client panicked")?;
+        lost_connections.iter().take(3).for_each(|what| println!("  lost: {what}"));
+        needs.lost = lost_connections.len() as f64;
         Ok(needs)
     }
 }
 
-/// Asks, and talks on for a while if it is served; returns the answer. One that is told to come again does so in its time.
-async fn talk(address: &str, line: &str, life: Duration, wait: Duration) -> String {
-    let began = Instant::now();
+/// Connects a client and sends its `OPEN` line. If it is served, it sends further lines until its lifetime is
+/// over. Returns the last answer to `OPEN`. A client that is rejected tries again every 300 ms until the
+/// set-up time-out; an earlier connection (`at=`) does not.
+async fn set_up_and_talk(address: &str, line: &str, lifetime: Duration, setup_timeout: Duration) -> String {
+    let started = Instant::now();
     let mut answer = String::new();
-    while began.elapsed() < wait && !answer.starts_with("UP ") {
-        let asked = async {
+    while started.elapsed() < setup_timeout && !answer.starts_with("UP ") {
+        let attempt = async {
             let mut client = Client::connect(address).await.ok()?;
             let answer = client.ask(line).await.ok()?;
             Some((client, answer))
         };
-        let left = wait.saturating_sub(began.elapsed());
-        let Ok(Some((mut client, said))) = timeout(left, asked).await else { return answer };
-        answer = said;
+        let remaining = setup_timeout.saturating_sub(started.elapsed());
+        let Ok(Some((mut client, reply))) = timeout(remaining, attempt).await else { return answer };
+        answer = reply;
         if answer.starts_with("UP ") {
-            while began.elapsed() < life {
-                sleep(LINE).await;
-                match timeout(LINE, client.ask("hello")).await {
+            while started.elapsed() < lifetime {
+                sleep(LINE_INTERVAL).await;
+                match timeout(LINE_INTERVAL, client.ask("hello")).await {
                     Ok(Ok(line)) if line == "hello" => {}
                     _ => return answer,
                 }
             }
         } else if line.contains(",at=") {
-            // It stood: whoever is turned away has lost it.
+            // An earlier connection that is rejected is lost.
             return answer;
         } else {
             sleep(Duration::from_millis(300)).await;
@@ -406,34 +430,38 @@
     answer
 }
 
-fn main() -> Result<(), Failure> {
+fn main() -> Result<(), BoxError> {
     let arguments = Arguments::parse();
     let program = match arguments.program {
         Some(program) => program,
-        None => std::env::current_exe()?.parent().and_then(Path::parent).ok_or("no folder")?.join("hopmoor"),
+        None => std::env::current_exe()?
+            .parent()
+            .and_then(Path::parent)
+            .ok_or("this example does not run from a target folder")?
+            .join("hopmoor"),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let mut usual = None;
-    let mut over = 0;
+    let mut base_needs = None;
+    let mut exceeded = 0;
     for hosts in arguments.hosts {
         let mut days = Vec::new();
         for seed in arguments.seed..arguments.seed + arguments.days {
-            let needs = runtime.block_on(Day::new(hosts, seed)?.play(&program))?;
+            let needs = runtime.block_on(SimulatedDay::new(hosts, seed)?.run(&program))?;
             println!("{hosts} hosts, seed {seed}: {needs:.2?}");
             days.push(needs);
         }
         let needs = Needs::mean(&days);
-        let usual = *usual.get_or_insert(needs);
-        let bounds = usual.bounds(hosts as f64 / 1_000.0);
+        let base_needs = *base_needs.get_or_insert(needs);
+        let bounds = base_needs.bounds(hosts as f64 / 1_000.0);
         for ((row, value), bound) in needs.rows().into_iter().zip(bounds) {
             let holds = if row == "share served" { value >= bound } else { value <= bound };
-            over += usize::from(!holds);
+            exceeded += usize::from(!holds);
             println!(
                 "{hosts:>6} hosts  {row:<26} {value:>9.2}  bound {bound:>9.2}  {}",
                 if holds { "holds" } else { "OVER" }
             );
         }
     }
-    println!("{over} rows over their bounds");
-    if over > 0 { Err("over".into()) } else { Ok(()) }
+    println!("{exceeded} rows over their bounds");
+    if exceeded > 0 { Err("over".into()) } else { Ok(()) }
 }
