--- a/crates/standin/src/drawn.rs
+++ b/crates/standin/src/drawn.rs
@@ -1,17 +1,18 @@
-//! Schedules drawn from a seed, and a failing one made short.
+//! Generates random schedules of faults from a seed, and shortens a schedule that makes a check fail.
 
 use crate::faults::{Fault, Manner, Schedule, Step, Who};
 
-/// A small generator (splitmix64): the same schedule from one seed, on every machine and for good.
-struct Draws(u64);
+/// A small pseudo-random generator (SplitMix64). It is written out here so that a seed yields the same
+/// schedule on every machine and with every version of the dependencies.
+struct SplitMix64(u64);
 
-/// To three places: a schedule in a file is the schedule that was drawn.
-fn thousandths(value: f64) -> f64 {
+/// Rounds to three decimal places, so that a schedule read back from a file equals the generated one.
+fn round_to_thousandths(value: f64) -> f64 {
     (value * 1_000.0).round() / 1_000.0
 }
 
-impl Draws {
-    fn next(&mut self) -> u64 {
+impl SplitMix64 {
+    fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -19,102 +20,104 @@
         z ^ (z >> 31)
     }
 
-    fn below(&mut self, most: usize) -> usize {
-        (self.next() % most.max(1) as u64) as usize
+    /// Returns a number from 0 up to, but not including, `bound`; 0 where the bound is 0.
+    fn below(&mut self, bound: usize) -> usize {
+        (self.next_u64() % bound.max(1) as u64) as usize
     }
 
-    fn between(&mut self, least: f64, most: f64) -> f64 {
-        thousandths(least + (most - least) * (self.next() >> 11) as f64 / (1u64 << 53) as f64)
+    fn uniform(&mut self, least: f64, most: f64) -> f64 {
+        round_to_thousandths(least + (most - least) * (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64)
     }
 
-    fn some(&mut self, nodes: usize, most: usize) -> Vec<usize> {
-        let mut some: Vec<usize> = (0..=self.below(most)).map(|_| self.below(nodes)).collect();
-        some.sort_unstable();
-        some.dedup();
-        some
+    /// Returns at least one and at most `max_count` of the nodes, in ascending order.
+    fn node_subset(&mut self, nodes: usize, max_count: usize) -> Vec<usize> {
+        let mut node_subset: Vec<usize> = (0..=self.below(max_count)).map(|_| self.below(nodes)).collect();
+        node_subset.sort_unstable();
+        node_subset.dedup();
+        node_subset
     }
 }
 
-/// Kinds of faults that can be drawn.
+/// Kinds of faults that a generated schedule can have.
 pub const KINDS: [&str; 7] = ["kill", "term", "stop", "cut", "loss", "move", "drain"];
-/// Between faults, in seconds.
-const PAUSE: (f64, f64) = (1.0, 6.0);
-/// Nothing begins in this last part of a schedule, so that it can settle.
-const QUIET: f64 = 20.0;
+/// Shortest and longest time from the start of one fault to the start of the next.
+const FAULT_INTERVAL_SECONDS: (f64, f64) = (1.0, 6.0);
+/// Length of the last part of a schedule, in which no fault begins, so that the views can converge.
+const RECOVERY_SECONDS: f64 = 20.0;
 
 impl Schedule {
-    /// Draws a schedule of these kinds of faults.
+    /// Generates a schedule with these kinds of faults.
     ///
     /// # Errors
-    /// If a kind is not known.
+    /// If a kind is not one of [`KINDS`].
     pub fn drawn(seed: u64, nodes: usize, seconds: f64, kinds: &[String]) -> Result<Schedule, String> {
         if let Some(other) = kinds.iter().find(|kind| !KINDS.contains(&kind.as_str())) {
-            return Err(format!("no fault '{other}': known are {}", KINDS.join(", ")));
+            return Err(format!("unknown kind of fault '{other}'; known kinds: {}", KINDS.join(", ")));
         }
-        let mut draws = Draws(seed);
+        let mut rng = SplitMix64(seed);
         let mut steps: Vec<Step> = Vec::new();
         let mut at = 5.0;
-        while !kinds.is_empty() && at < seconds - QUIET {
-            // What lasts ends before the quiet part.
-            let lasts = thousandths(draws.between(0.5, 15.0).min(seconds - QUIET - at));
-            let kind = &kinds[draws.below(kinds.len())];
-            let some = draws.some(nodes, nodes.div_ceil(4));
+        while !kinds.is_empty() && at < seconds - RECOVERY_SECONDS {
+            // A fault with a duration ends before the last part of the schedule.
+            let duration = round_to_thousandths(rng.uniform(0.5, 15.0).min(seconds - RECOVERY_SECONDS - at));
+            let kind = &kinds[rng.below(kinds.len())];
+            let node_subset = rng.node_subset(nodes, nodes.div_ceil(4));
             let fault = match kind.as_str() {
                 "kill" | "term" => {
-                    let back = Fault::Start { nodes: Who::Only(some.clone()) };
-                    steps.push(Step { at: at + lasts.max(4.0), fault: back });
-                    let nodes = Who::Only(some);
+                    let recovery = Fault::Start { nodes: Who::Only(node_subset.clone()) };
+                    steps.push(Step { at: at + duration.max(4.0), fault: recovery });
+                    let nodes = Who::Only(node_subset);
                     if kind == "kill" { Fault::Kill { nodes } } else { Fault::Term { nodes } }
                 }
-                "stop" => Fault::Stop { nodes: Who::Only(some), seconds: lasts },
-                "move" => Fault::Move { node: draws.below(nodes) },
+                "stop" => Fault::Stop { nodes: Who::Only(node_subset), seconds: duration },
+                "move" => Fault::Move { node: rng.below(nodes) },
                 "drain" => {
-                    let back = Fault::Drain { nodes: Who::Only(some.clone()), on: false };
-                    steps.push(Step { at: at + lasts, fault: back });
-                    Fault::Drain { nodes: Who::Only(some), on: true }
+                    let recovery = Fault::Drain { nodes: Who::Only(node_subset.clone()), on: false };
+                    steps.push(Step { at: at + duration, fault: recovery });
+                    Fault::Drain { nodes: Who::Only(node_subset), on: true }
                 }
                 "cut" => Fault::Link {
-                    from: Who::Only(some.clone()),
-                    to: Who::But(some),
-                    both: draws.below(3) > 0,
+                    from: Who::Only(node_subset.clone()),
+                    to: Who::But(node_subset),
+                    both: rng.below(3) > 0,
                     how: Manner { cut: true, ..Manner::default() },
-                    seconds: lasts,
+                    seconds: duration,
                 },
                 _ => {
                     let how = Manner {
-                        loss: draws.between(0.02, 0.25),
-                        jitter_ms: draws.between(0.0, 100.0),
+                        loss: rng.uniform(0.02, 0.25),
+                        jitter_ms: rng.uniform(0.0, 100.0),
                         twice: 0.05,
                         ..Manner::default()
                     };
-                    Fault::Link { from: Who::All, to: Who::All, both: false, how, seconds: lasts }
+                    Fault::Link { from: Who::All, to: Who::All, both: false, how, seconds: duration }
                 }
             };
             steps.push(Step { at, fault });
-            at = thousandths(at + draws.between(PAUSE.0, PAUSE.1));
+            at = round_to_thousandths(at + rng.uniform(FAULT_INTERVAL_SECONDS.0, FAULT_INTERVAL_SECONDS.1));
         }
         for step in &mut steps {
-            step.at = thousandths(step.at);
+            step.at = round_to_thousandths(step.at);
         }
         steps.sort_by(|a, b| a.at.total_cmp(&b.at));
         Ok(Schedule { nodes, zones: 3, voters: 0, seconds, seed, steps })
     }
 
-    /// A schedule without the steps that a failure does not need: those are left out, one by one, as long as it still
-    /// fails.
+    /// Returns the schedule without the steps that the failure does not need. Steps are removed one by one,
+    /// and each stays removed if the shorter schedule still `fails`.
     pub fn shortened(self, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
-        let mut short = self;
+        let mut shortest = self;
         let mut at = 0;
-        while at < short.steps.len() {
-            let mut without = short.clone();
-            without.steps.remove(at);
-            if fails(&without) {
-                short = without;
+        while at < shortest.steps.len() {
+            let mut candidate = shortest.clone();
+            candidate.steps.remove(at);
+            if fails(&candidate) {
+                shortest = candidate;
             } else {
                 at += 1;
             }
         }
-        short
+        shortest
     }
 }
 
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,125 +1,127 @@
-//! What goes wrong between and in the nodes of a fleet, as a schedule: from a file, or drawn from a seed. The same
-//! schedule is played in virtual time and on real processes.
+//! Schedules of faults in the nodes of a fleet and on the links between them, from a file or generated from a
+//! seed. The same schedule runs in virtual time and on real processes.
 
 use serde::{Deserialize, Serialize};
 
-/// A schedule.
+/// A schedule of faults for a fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Over how many zones they are spread in turn.
-    #[serde(default = "one")]
+    /// Number of zones; node `n` is in zone `n % zones`.
+    #[serde(default = "default_zones")]
     pub zones: usize,
-    /// How many of them, from the first, vote on drains; none: whoever is told to drain drains.
-    #[serde(default, skip_serializing_if = "is_none")]
+    /// Number of voters on drains: the nodes with the lowest numbers. With 0, a node drains without a vote.
+    #[serde(default, skip_serializing_if = "is_zero")]
     pub voters: usize,
-    /// How long it takes in all.
+    /// Total length, in seconds.
     pub seconds: f64,
-    /// For what is drawn while it is played: losses, delays.
+    /// Seed of the random numbers drawn while the schedule runs, such as losses and delays.
     #[serde(default)]
     pub seed: u64,
-    /// What happens, in the order of its times.
+    /// The steps, in the order of their times.
     #[serde(default)]
     pub steps: Vec<Step>,
 }
 
-fn one() -> usize {
+fn default_zones() -> usize {
     1
 }
 
-fn is_none(voters: &usize) -> bool {
+fn is_zero(voters: &usize) -> bool {
     *voters == 0
 }
 
-/// One thing that happens.
+/// A fault and the time at which it begins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// When, in seconds from the start.
+    /// When the fault begins, in seconds from the start of the schedule.
     pub at: f64,
-    /// What.
+    /// The fault.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// What can happen.
+/// A fault, or an operator's action during a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum Fault {
-    /// These start; all others do at the beginning.
+    /// Starts nodes. [`Schedule::starts`] tells which nodes already run from the beginning.
     Start {
-        /// Which.
+        /// Nodes to start.
         nodes: Who,
     },
-    /// SIGKILL.
+    /// Sends SIGKILL to nodes.
     Kill {
-        /// Which.
+        /// Nodes to kill.
         nodes: Who,
     },
-    /// SIGTERM.
+    /// Sends SIGTERM to nodes.
     Term {
-        /// Which.
+        /// Nodes to terminate.
         nodes: Who,
     },
-    /// SIGSTOP, and SIGCONT after so long.
+    /// Sends SIGSTOP to nodes, and SIGCONT after `seconds`.
     Stop {
-        /// Which.
+        /// Nodes to stop.
         nodes: Who,
-        /// For how long, in seconds.
+        /// How long they are stopped.
         seconds: f64,
     },
-    /// What goes from some to others is treated so, for a time.
+    /// Degrades or cuts the links from some nodes to others.
     Link {
-        /// Senders.
+        /// Sending nodes.
         from: Who,
-        /// Receivers.
+        /// Receiving nodes.
         to: Who,
-        /// Whether the way back as well.
+        /// Whether the links in the opposite direction are affected as well.
         #[serde(default)]
         both: bool,
-        /// How.
+        /// Condition of the links.
         how: Manner,
-        /// For how long, in seconds.
+        /// How long the condition lasts.
         seconds: f64,
     },
-    /// One is killed and comes back under its name at another address.
+    /// Kills a node and starts it again under the same name at another address.
     Move {
-        /// Which.
+        /// Node to move.
         node: usize,
     },
-    /// A second process of the same name starts beside the first.
+    /// Starts a second process under a running node's name.
     Twin {
-        /// Which.
+        /// Node whose name is used twice.
         node: usize,
     },
-    /// Datagrams that nobody sealed come to one node, so many a second.
+    /// Sends unsealed datagrams to a node at a constant rate.
     Flood {
-        /// To whom.
+        /// Node that receives them.
         node: usize,
-        /// How many a second.
+        /// Datagrams per second.
         rate: f64,
-        /// For how long, in seconds.
+        /// How long the flood lasts.
         seconds: f64,
     },
-    /// A node drains, or takes clients again.
+    /// Starts or ends the draining of nodes.
     Drain {
-        /// Which.
+        /// Nodes to drain or to resume.
         nodes: Who,
-        /// Whether it drains.
+        /// True to drain, false to take clients again.
         on: bool,
     },
-    /// Each node that drains takes clients again; those that wait for a permit go on waiting.
+    /// Resumes each node that is draining. A node that still waits for its drain permit goes on waiting.
+    #[serde(rename = "back")]
     Back,
-    /// A new key: first all get it, then all seal with it, then the old one goes; so long between.
+    /// Rotates the fleet's key: all nodes get the new key, then all seal with it, then the old key is
+    /// removed.
     Rotate {
-        /// Between the steps, in seconds.
+        /// Time between these three steps, in seconds.
         pause: f64,
     },
 }
 
 impl Step {
-    /// When it is over, in seconds from the start.
+    /// Returns when the fault is over, in seconds from the start of the schedule.
     pub fn until(&self) -> f64 {
         self.at
             + match &self.fault {
@@ -132,22 +134,23 @@
     }
 }
 
-/// Some of the nodes.
+/// A set of nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Who {
-    /// All of them.
+    /// All nodes.
     All,
-    /// These.
+    /// The listed nodes.
     Only(Vec<usize>),
-    /// All but these.
+    /// All nodes except the listed ones.
+    #[serde(rename = "but")]
     But(Vec<usize>),
-    /// Those of a zone.
+    /// The nodes in a zone.
     Zone(usize),
 }
 
 impl Who {
-    /// Whether one is among them.
+    /// Returns whether the set includes a node, in a fleet spread over this many zones.
     pub fn has(&self, node: usize, zones: usize) -> bool {
         match self {
             Who::All => true,
@@ -158,83 +161,87 @@
     }
 }
 
-/// How a link treats what goes over it.
+/// Condition of a link between two nodes. The default is a link without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Manner {
-    /// Nothing passes.
+    /// Whether the link passes nothing.
     pub cut: bool,
-    /// Share of datagrams lost.
+    /// Share of datagrams lost, from 0 to 1.
     pub loss: f64,
-    /// What passes is late by this, in milliseconds.
+    /// Delay of all traffic, in milliseconds.
     pub delay_ms: f64,
-    /// And by up to this on top, drawn for each: so datagrams overtake each other.
+    /// Upper bound of an additional delay in milliseconds, drawn for each datagram, so that datagrams are
+    /// reordered.
     pub jitter_ms: f64,
-    /// Share of datagrams that pass twice.
+    /// Share of datagrams that are duplicated, from 0 to 1.
     pub twice: f64,
-    /// Bytes a second of a connection; 0 for no limit.
+    /// Bandwidth of a connection in bytes per second; 0 for no limit.
     pub bytes_a_second: f64,
-    /// A connection is cut after so many bytes; 0 for never.
+    /// Number of bytes after which a connection is cut; 0 for never.
     pub cut_after: u64,
 }
 
 impl Manner {
-    /// Both at once.
-    pub fn and(self, other: Manner) -> Manner {
-        let least = |a: f64, b: f64| if a == 0.0 || (b > 0.0 && b < a) { b } else { a };
+    /// Returns the condition of a link that is under both conditions at once.
+    pub fn combined_with(self, other: Manner) -> Manner {
+        // 0 stands for no limit.
+        let stricter_limit = |a: f64, b: f64| if a == 0.0 || (b > 0.0 && b < a) { b } else { a };
         Manner {
             cut: self.cut || other.cut,
             loss: 1.0 - (1.0 - self.loss) * (1.0 - other.loss),
             delay_ms: self.delay_ms + other.delay_ms,
             jitter_ms: self.jitter_ms + other.jitter_ms,
             twice: self.twice.max(other.twice),
-            bytes_a_second: least(self.bytes_a_second, other.bytes_a_second),
-            cut_after: least(self.cut_after as f64, other.cut_after as f64) as u64,
+            bytes_a_second: stricter_limit(self.bytes_a_second, other.bytes_a_second),
+            cut_after: stricter_limit(self.cut_after as f64, other.cut_after as f64) as u64,
         }
     }
 }
 
 impl Schedule {
-    /// Reads a schedule.
+    /// Parses and validates a schedule.
     ///
     /// # Errors
-    /// One line that names what is wrong.
+    /// One line that names the field and what is wrong with it.
     pub fn read(json: &str) -> Result<Schedule, String> {
         let schedule: Schedule = serde_json::from_str(json).map_err(|error| error.to_string())?;
-        let late = schedule.steps.windows(2).position(|pair| pair[1].at < pair[0].at);
-        if let Some(at) = late {
-            return Err(format!("steps[{}]: earlier than the one before", at + 1));
+        let out_of_order = schedule.steps.windows(2).position(|pair| pair[1].at < pair[0].at);
+        if let Some(at) = out_of_order {
+            return Err(format!("steps[{}]: earlier than the step before it", at + 1));
         }
         if schedule.nodes == 0 || !(schedule.seconds > 0.0 && schedule.seconds < 1e7) {
-            return Err("nodes and seconds: over 0".into());
+            return Err("nodes must be at least 1, and seconds over 0 and below 10000000".into());
         }
         Ok(schedule)
     }
 
-    /// How the link from one node to another treats what goes over it at this time.
+    /// Returns the condition of the link from one node to another at a time, with all overlapping faults
+    /// combined.
     pub fn link(&self, at: f64, from: usize, to: usize) -> Manner {
-        let mut manner = Manner::default();
+        let mut condition = Manner::default();
         for step in self.steps.iter().take_while(|step| step.at <= at) {
-            if let Fault::Link { from: some, to: others, both, how, seconds } = &step.fault
+            if let Fault::Link { from: senders, to: receivers, both, how, seconds } = &step.fault
                 && at < step.at + seconds
             {
-                let there = some.has(from, self.zones) && others.has(to, self.zones);
-                let back = *both && some.has(to, self.zones) && others.has(from, self.zones);
-                if there || back {
-                    manner = manner.and(*how);
+                let forward = senders.has(from, self.zones) && receivers.has(to, self.zones);
+                let backward = *both && senders.has(to, self.zones) && receivers.has(from, self.zones);
+                if forward || backward {
+                    condition = condition.combined_with(*how);
                 }
             }
         }
-        manner
+        condition
     }
 
-    /// Whether one starts with the schedule, and not by a step of it.
+    /// Returns whether a node runs from the beginning. It does not if the schedule's first `Start` includes
+    /// it and no earlier step kills or terminates it.
     pub fn starts(&self, node: usize) -> bool {
-        let mut later = self.steps.iter().filter_map(|step| match &step.fault {
+        let mut starts_and_ends = self.steps.iter().filter_map(|step| match &step.fault {
             Fault::Start { nodes } => Some(nodes.has(node, self.zones)),
             Fault::Kill { nodes } | Fault::Term { nodes } if nodes.has(node, self.zones) => Some(false),
             _ => None,
         });
-        later.next() != Some(true)
+        starts_and_ends.next() != Some(true)
     }
 }
