--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -1,91 +1,93 @@
-//! What observers saw of a fleet, and what was really so: one history, judged from outside. No node's own log is in it.
+//! Histories of a fleet under faults: what each node reported, and what was really done to the processes. The
+//! checks compare the two from outside; no node's own log is part of a history.
 
 use crate::faults::{Fault, Schedule, Step};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What was seen and done while a schedule was played.
+/// What was observed and done while a schedule ran.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
-    /// What was played.
+    /// The schedule that ran.
     pub schedule: Option<Schedule>,
-    /// What was done to whom, as it was done.
+    /// What was done to the nodes' processes, in the order in which it was done.
     pub acts: Vec<Act>,
-    /// What the nodes said when they were asked, in the order of the times.
+    /// The nodes' answers, in the order of their times.
     pub seen: Vec<Seen>,
 }
 
-/// Something done to a node.
+/// An event in the life of a node's process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Act {
-    /// When, in seconds from the start.
+    /// Time of the event, in seconds from the start.
     pub at: f64,
-    /// To whom.
+    /// Node that it happened to.
     pub node: usize,
-    /// What.
+    /// Kind of the event.
     pub what: What,
 }
 
-/// What is done to a node.
+/// Kinds of events in the life of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
-    /// Its process started.
+    /// The process started.
     Started,
-    /// Its process was killed.
+    /// The process was killed (SIGKILL).
     Killed,
-    /// It was told to end.
+    /// The process was told to shut down (SIGTERM).
     Told,
-    /// Its process ended after it was told.
+    /// The process ended after it was told to shut down.
     Ended,
-    /// Its process was stopped.
+    /// The process was stopped (SIGSTOP).
     Stopped,
-    /// It goes on.
+    /// The process was continued (SIGCONT).
     Continued,
 }
 
-/// One node's view, at one time.
+/// One node's view of the fleet, and what it reports of itself, at one time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
-    /// When, in seconds from the start.
+    /// When the answer arrived, in seconds from the start.
     pub at: f64,
-    /// Whose.
+    /// Node that answered.
     pub node: usize,
-    /// Its view's digest.
+    /// Digest of its view.
     pub digest: String,
-    /// The states by node, as far as they are nodes of the schedule.
+    /// Membership states in its view, by node; members that are not nodes of the schedule are left out.
     pub states: BTreeMap<usize, String>,
-    /// What each says of its readiness.
+    /// Readiness that each node announces, according to this view.
     pub ready: BTreeMap<usize, String>,
-    /// Whether the node says that it is ready, if it was asked.
+    /// Whether the node reports itself ready; `None` if it was not asked.
     pub itself_ready: Option<bool>,
-    /// When it was asked: what it says was so between then and `at`.
+    /// When the node was asked, in seconds from the start. Its answer was true at some time between then and
+    /// `at`.
     #[serde(default)]
     pub asked: f64,
-    /// Whether it says that it drains.
+    /// Whether the node reports that it is draining.
     #[serde(default)]
     pub drains: bool,
-    /// Its incarnation, as it tells it.
+    /// Incarnation that the node reports of itself.
     #[serde(default)]
     pub incarnation: u64,
-    /// With how many it holds to share the pool, itself included, where it can tell.
+    /// Number of nodes, itself included, that the node believes to share the pool; `None` if it can't tell.
     #[serde(default)]
     pub sharing: Option<u32>,
 }
 
-/// Whether a node was there.
+/// State of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Was {
-    /// It ran.
+    /// It was running.
     Up,
-    /// It did not.
+    /// It was not running.
     Down,
-    /// Its process was stopped.
+    /// It was stopped (SIGSTOP).
     Stopped,
 }
 
 impl History {
-    /// How a node was at a time, and since when.
+    /// Returns the state of a node's process at a time, and since when it had been in that state.
     pub fn was(&self, node: usize, at: f64) -> (Was, f64) {
         let mut was = (Was::Down, 0.0);
         for act in self.acts.iter().filter(|act| act.node == node && act.at <= at) {
@@ -100,27 +102,32 @@
         was
     }
 
-    /// The last act on a node that ends it, at or before a time.
-    fn last(&self, node: usize, what: What, at: f64) -> Option<f64> {
+    /// Returns the time of a node's last event of this kind, at or before a time.
+    fn last_event_at(&self, node: usize, what: What, at: f64) -> Option<f64> {
         let mut acts = self.acts.iter().rev();
         acts.find(|act| act.node == node && act.what == what && act.at <= at).map(|act| act.at)
     }
 
-    /// When a node's end was first seen by one, and by all others that ran: held dead or left.
+    /// Returns how long after `since` the first other node held this node dead or left, and how long after
+    /// `since` every other node that ran without interruption to the end had done so. `None` where that did
+    /// not happen.
     pub fn end_seen(&self, node: usize, since: f64) -> (Option<f64>, Option<f64>) {
-        let mut first: BTreeMap<usize, f64> = BTreeMap::new();
+        let mut first_delays: BTreeMap<usize, f64> = BTreeMap::new();
         for seen in self.seen.iter().filter(|seen| seen.at >= since && seen.node != node) {
             if seen.states.get(&node).is_some_and(|state| state == "dead" || state == "left") {
-                first.entry(seen.node).or_insert(seen.at - since);
+                first_delays.entry(seen.node).or_insert(seen.at - since);
             }
         }
         let others: Vec<usize> = self.observers(since).into_iter().filter(|other| *other != node).collect();
-        let one = first.values().copied().reduce(f64::min);
-        let all: Option<Vec<f64>> = others.iter().map(|other| first.get(other).copied()).collect();
-        (one, all.filter(|times| !times.is_empty()).map(|times| times.into_iter().fold(0.0, f64::max)))
+        let shortest = first_delays.values().copied().reduce(f64::min);
+        let all: Option<Vec<f64>> = others.iter().map(|other| first_delays.get(other).copied()).collect();
+        (
+            shortest,
+            all.filter(|delays| !delays.is_empty()).map(|delays| delays.into_iter().fold(0.0, f64::max)),
+        )
     }
 
-    /// Nodes that run at a time and to the end.
+    /// Returns the nodes whose process ran without interruption from `since` to the end of the history.
     fn observers(&self, since: f64) -> Vec<usize> {
         let nodes = self.schedule.as_ref().map_or(0, |schedule| schedule.nodes);
         let end = self.seen.last().map_or(since, |seen| seen.at);
@@ -131,51 +138,53 @@
             .collect()
     }
 
-    /// How long after a time all that run in the end had equal digests, and each held exactly those that run to be there; and kept
-    /// that until the end. `None` if it never came to that.
+    /// Returns how long after `since` the views converged for good: all nodes that run at the end have equal
+    /// digests, and each holds exactly the running nodes alive or suspect. `None` if the views have not
+    /// converged by the end.
     pub fn settled(&self, since: f64) -> Option<f64> {
         let end = self.seen.last().map_or(since, |seen| seen.at);
         let count = self.schedule.as_ref().map_or(0, |schedule| schedule.nodes);
         let nodes: Vec<usize> = (0..count).filter(|node| self.was(*node, end).0 == Was::Up).collect();
-        let mut last: BTreeMap<usize, &Seen> = BTreeMap::new();
-        let mut settled = None;
+        let mut latest: BTreeMap<usize, &Seen> = BTreeMap::new();
+        let mut converged_at = None;
         for seen in &self.seen {
-            last.insert(seen.node, seen);
+            latest.insert(seen.node, seen);
             if seen.at < since {
                 continue;
             }
-            let mut all = nodes.iter().map(|node| last.get(node));
-            let digest = last.get(&seen.node).map(|seen| &seen.digest);
-            let right = |seen: &&Seen| {
-                let there = |node: &usize| {
+            let mut all = nodes.iter().map(|node| latest.get(node));
+            let digest = latest.get(&seen.node).map(|seen| &seen.digest);
+            let is_correct = |seen: &&Seen| {
+                let listed_alive = |node: &usize| {
                     seen.states.get(node).is_some_and(|state| state == "alive" || state == "suspect")
                 };
-                (0..count).all(|node| there(&node) == nodes.contains(&node))
+                (0..count).all(|node| listed_alive(&node) == nodes.contains(&node))
             };
-            let good = nodes.contains(&seen.node)
-                && all.all(|seen| seen.is_some_and(|seen| Some(&seen.digest) == digest && right(seen)));
-            match (good, settled) {
-                (true, None) => settled = Some(seen.at),
-                (false, Some(_)) if nodes.contains(&seen.node) => settled = None,
+            let converged = nodes.contains(&seen.node)
+                && all.all(|seen| seen.is_some_and(|seen| Some(&seen.digest) == digest && is_correct(seen)));
+            match (converged, converged_at) {
+                (true, None) => converged_at = Some(seen.at),
+                (false, Some(_)) if nodes.contains(&seen.node) => converged_at = None,
                 _ => {}
             }
         }
-        settled.map(|at| at - since)
+        converged_at.map(|at| at - since)
     }
 
-    /// Nodes that ran and were held dead, and by whom: all but those for which there was a reason. A reason is that one
-    /// of the two was killed, stopped for a second or longer, came back, or that a cut lay between them; until `grace`
-    /// seconds after its end.
+    /// Returns the false deaths: each observation of a running node as dead or left for which there is no
+    /// reason, as its time, the node that held the other dead, and that other node. A reason is that one of
+    /// the two was killed, ended, was stopped for a second or longer, or started, or that a cut lay between
+    /// them. It counts until `grace` seconds after its end.
     pub fn false_deaths(&self, grace: f64) -> Vec<(f64, usize, usize)> {
         let Some(schedule) = &self.schedule else { return Vec::new() };
         let mut found = Vec::new();
         for seen in &self.seen {
             for (node, state) in &seen.states {
-                let held = state == "dead" || state == "left";
-                if held
+                let held_dead = state == "dead" || state == "left";
+                if held_dead
                     && *node != seen.node
-                    && !self.excused(schedule, seen.at, seen.node, grace)
-                    && !self.excused(schedule, seen.at, *node, grace)
+                    && !self.is_excused(schedule, seen.at, seen.node, grace)
+                    && !self.is_excused(schedule, seen.at, *node, grace)
                     && !cut_between(schedule, seen.at, seen.node, *node, grace)
                 {
                     found.push((seen.at, seen.node, *node));
@@ -185,53 +194,60 @@
         found
     }
 
-    /// From when to when each node drained for sure: it said so twice, with no word between that it did not.
+    /// Returns the spans in which a node was certainly draining, as node, begin and end. A span lies between
+    /// successive answers in which the same incarnation reports that it is draining: it begins when the first
+    /// answer arrived and ends when the last one was requested.
     pub fn drained(&self) -> Vec<(usize, f64, f64)> {
         let mut spans: Vec<(usize, f64, f64)> = Vec::new();
-        let mut last: BTreeMap<usize, &Seen> = BTreeMap::new();
+        let mut latest: BTreeMap<usize, &Seen> = BTreeMap::new();
         for seen in &self.seen {
-            let before = last.insert(seen.node, seen);
-            let Some(before) = before.filter(|before| before.drains && seen.drains) else { continue };
-            if before.incarnation != seen.incarnation || seen.asked <= before.at {
+            let previous = latest.insert(seen.node, seen);
+            let Some(previous) = previous.filter(|previous| previous.drains && seen.drains) else { continue };
+            if previous.incarnation != seen.incarnation || seen.asked <= previous.at {
                 continue;
             }
             match spans.iter_mut().rev().find(|span| span.0 == seen.node) {
-                Some(span) if span.2 >= before.asked => span.2 = seen.asked,
-                _ => spans.push((seen.node, before.at, seen.asked)),
+                Some(span) if span.2 >= previous.asked => span.2 = seen.asked,
+                _ => spans.push((seen.node, previous.at, seen.asked)),
             }
         }
         spans
     }
 
-    /// The most nodes that drained at once, and when that began.
+    /// Returns the largest number of nodes that were draining at the same time, and when that was first
+    /// reached.
     pub fn most_drained(&self) -> (usize, f64) {
         let spans = self.drained();
-        let at_once = |at: f64| spans.iter().filter(|(_, from, to)| *from <= at && at < *to).count();
-        let begins = spans.iter().map(|(_, from, _)| (at_once(*from), *from));
-        begins.max_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1))).unwrap_or((0, 0.0))
+        let draining_at = |at: f64| spans.iter().filter(|(_, from, to)| *from <= at && at < *to).count();
+        let counts = spans.iter().map(|(_, from, _)| (draining_at(*from), *from));
+        counts.max_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1))).unwrap_or((0, 0.0))
     }
 
-    /// What it shows, in a few lines: each end and when it was seen, when the fleet settled, deaths without a reason.
+    /// Summarizes the history in a few lines: each end of a process and when it was detected, when the views
+    /// converged, and the numbers of deaths and of rejoins without a reason.
     pub fn told(&self) -> String {
         use std::fmt::Write as _;
         let mut text = String::new();
-        let time = |at: Option<f64>| at.map_or("never".to_owned(), |at| format!("{at:.2} s"));
+        let duration = |delay: Option<f64>| delay.map_or("never".to_owned(), |delay| format!("{delay:.2} s"));
         for act in self.acts.iter().filter(|act| matches!(act.what, What::Killed | What::Ended)) {
-            let (one, all) = self.end_seen(act.node, act.at);
+            let (first, all) = self.end_seen(act.node, act.at);
             let _ = writeln!(
                 text,
                 "n-{:04} {:?} at {:.1} s: seen by one after {}, by all after {}",
                 act.node,
                 act.what,
                 act.at,
-                time(one),
-                time(all)
+                duration(first),
+                duration(all)
             );
         }
         if let Some(schedule) = &self.schedule {
-            let last = schedule.steps.iter().map(Step::until).fold(0.0, f64::max);
-            let _ =
-                writeln!(text, "settled after the last fault ({last:.1} s): {}", time(self.settled(last)));
+            let faults_end = schedule.steps.iter().map(Step::until).fold(0.0, f64::max);
+            let _ = writeln!(
+                text,
+                "settled after the last fault ({faults_end:.1} s): {}",
+                duration(self.settled(faults_end))
+            );
         }
         let _ = writeln!(text, "nodes held dead without a reason: {}", self.false_deaths(10.0).len());
         let _ =
@@ -239,17 +255,19 @@
         text
     }
 
-    /// Nodes that came again, as another incarnation, without a reason: none of those in [`History::false_deaths`], and no
-    /// cut that lay between them and anybody.
+    /// Returns the needless rejoins: the times at which a node reports a new incarnation without a reason.
+    /// The reasons are those of [`History::false_deaths`]; a cut between the node and any other node counts.
     pub fn needless_returns(&self, grace: f64) -> Vec<(f64, usize)> {
         let Some(schedule) = &self.schedule else { return Vec::new() };
-        let mut last: BTreeMap<usize, u64> = BTreeMap::new();
+        let mut latest: BTreeMap<usize, u64> = BTreeMap::new();
         let mut found = Vec::new();
         for seen in &self.seen {
             let changed =
-                last.insert(seen.node, seen.incarnation).is_some_and(|last| last != seen.incarnation);
+                latest.insert(seen.node, seen.incarnation).is_some_and(|earlier| earlier != seen.incarnation);
             let cut = |other| cut_between(schedule, seen.at, seen.node, other, grace);
-            if changed && !self.excused(schedule, seen.at, seen.node, grace) && !(0..schedule.nodes).any(cut)
+            if changed
+                && !self.is_excused(schedule, seen.at, seen.node, grace)
+                && !(0..schedule.nodes).any(cut)
             {
                 found.push((seen.at, seen.node));
             }
@@ -257,12 +275,15 @@
         found
     }
 
-    fn excused(&self, schedule: &Schedule, at: f64, node: usize, grace: f64) -> bool {
+    /// Returns whether what was done to a node is a reason to hold it dead, for it to hold others dead, or
+    /// for it to rejoin: it is not running or is shutting down, or it was killed, ended, started or stopped
+    /// for a second or longer less than `grace` seconds ago.
+    fn is_excused(&self, schedule: &Schedule, at: f64, node: usize, grace: f64) -> bool {
         let (was, since) = self.was(node, at);
-        if was != Was::Up || self.last(node, What::Told, at).is_some_and(|told| told > since) {
+        if was != Was::Up || self.last_event_at(node, What::Told, at).is_some_and(|told_at| told_at > since) {
             return true;
         }
-        let recent = |what| self.last(node, what, at).is_some_and(|then| at - then < grace);
+        let recent = |what| self.last_event_at(node, what, at).is_some_and(|event_at| at - event_at < grace);
         let stopped = schedule.steps.iter().any(|step| {
             matches!(&step.fault, Fault::Stop { nodes, seconds }
                 if *seconds >= 1.0 && nodes.has(node, schedule.zones)
@@ -272,8 +293,10 @@
     }
 }
 
-/// Whether a cut is why one holds the other dead. One whom a cut mutes but does not deafen is held dead by the rest, and
-/// others that are mute with it hear that and have no reason to doubt it.
+/// Returns whether a cut explains that node `a` holds node `b` dead. A node whose outgoing links are cut
+/// while its incoming links work is held dead by the rest. Nodes that are muted with it receive that news and
+/// have no reason to doubt it. A one-way cut of `b`'s outgoing links therefore counts even if `a` is not
+/// among its receivers.
 fn cut_between(schedule: &Schedule, at: f64, a: usize, b: usize, grace: f64) -> bool {
     let cuts = |step: &Step| {
         let Fault::Link { from, to, both, how, seconds } = &step.fault else { return false };
--- a/crates/standin/src/history/tests.rs
+++ b/crates/standin/src/history/tests.rs
@@ -16,13 +16,15 @@
 }
 
 #[test]
-fn two_that_drain_at_once_are_seen_and_two_in_turn_are_not() {
-    let of = |all: &[(usize, f64, bool)]| History {
-        seen: all.iter().map(|(node, at, drains)| seen(*node, *at, *drains)).collect(),
+fn concurrent_drains_are_counted_and_consecutive_drains_are_not() {
+    let history = |answers: &[(usize, f64, bool)]| History {
+        seen: answers.iter().map(|(node, at, drains)| seen(*node, *at, *drains)).collect(),
         ..History::default()
     };
-    let turn = of(&[(0, 1.0, true), (0, 1.1, true), (1, 1.15, true), (0, 1.2, false), (1, 1.3, true)]);
-    assert_eq!((turn.most_drained().0, turn.drained().len()), (1, 2));
-    let both = of(&[(0, 1.0, true), (1, 1.05, true), (0, 1.1, true), (1, 1.15, true), (0, 1.2, true)]);
-    assert_eq!(both.most_drained(), (2, 1.05));
+    let consecutive =
+        history(&[(0, 1.0, true), (0, 1.1, true), (1, 1.15, true), (0, 1.2, false), (1, 1.3, true)]);
+    assert_eq!((consecutive.most_drained().0, consecutive.drained().len()), (1, 2));
+    let concurrent =
+        history(&[(0, 1.0, true), (1, 1.05, true), (0, 1.1, true), (1, 1.15, true), (0, 1.2, true)]);
+    assert_eq!(concurrent.most_drained(), (2, 1.05));
 }
