--- a/crates/standin/examples/recorder_cost.rs
+++ b/crates/standin/examples/recorder_cost.rs
@@ -66,13 +66,13 @@
             std::fs::create_dir(folder.join("records"))?;
             operator += r#","records":{"folder":"records"}"#;
         }
-        if let Feature::Fleet(own, seed_port) = feature {
+        if let Feature::Fleet(own, peer) = feature {
             // 32 times the letter `A`, in base64.
             let secret = "QUFBQUFBQUFBQUFBQUFBQUFBQUFBQUFBQUFBQUFBQUE=";
             let keys = format!(r#"{{"seal_with":1,"keys":[{{"id":1,"secret":"{secret}"}}]}}"#);
             std::fs::write(folder.join("keys.json"), keys)?;
             operator += &format!(
-                r#","fleet":{{"listen":"127.0.0.1:{own}","seeds":["127.0.0.1:{seed_port}"],"keys":"keys.json"}}"#
+                r#","fleet":{{"listen":"127.0.0.1:{own}","seeds":["127.0.0.1:{peer}"],"keys":"keys.json"}}"#
             );
         }
         if feature == Feature::AdminCalls {
@@ -238,8 +238,8 @@
         Node::start(&folder, "on", &discovery.address(), second)?,
     ];
     let _third = match second {
-        Feature::Fleet(own, seed_port) => {
-            Some(Node::start(&folder, "third", &discovery.address(), Feature::Fleet(seed_port, own))?)
+        Feature::Fleet(own, peer) => {
+            Some(Node::start(&folder, "third", &discovery.address(), Feature::Fleet(peer, own))?)
         }
         _ => None,
     };
--- a/crates/standin/examples/scale.rs
+++ b/crates/standin/examples/scale.rs
@@ -387,7 +387,7 @@
             needs.descriptors = needs.descriptors.max(process.descriptors as f64);
         }
         needs.connections = self.hosts.iter().map(Member::connections).sum::<u64>() as f64;
-        needs.list_kb = self.discovery.written() as f64 / 1_024.0;
+        needs.list_kb = self.discovery.bytes_written() as f64 / 1_024.0;
         needs.served =
             self.totals.served.load(Relaxed) as f64 / self.totals.attempted.load(Relaxed).max(1) as f64;
         let lost_connections = self.totals.lost_connections.lock().map_err(|_| "a client panicked")?;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,11 +1,11 @@
-//! Stand-ins for what a hopmoor node meets, scripted, with a truth of their own to check against.
+//! Scripted stand-ins for the environment of a hopmoor node, with a ground truth to check the nodes against.
 //!
-//! - [`drawn`]: schedules of faults drawn from a seed.
-//! - [`faults`]: what goes wrong between and in the nodes of a fleet.
-//! - [`history`]: what observers saw of a fleet, and its judges.
-//! - [`plan`]: who is there, what clients want, and what goes wrong when.
-//! - [`truth`]: what really happened, as no node can know it.
-//! - [`sockets`]: members and discovery on loopback, for tests with the real program.
+//! - [`drawn`]: random schedules of faults, generated from a seed.
+//! - [`faults`]: schedules of faults in the nodes of a fleet and on the links between them.
+//! - [`history`]: what the nodes of a fleet reported during a schedule, and checks of it.
+//! - [`plan`]: scripted sites: nodes, members, client load and faults.
+//! - [`truth`]: what really happened at a scripted site.
+//! - [`sockets`]: members, discovery and clients on loopback, for tests with the real program.
 
 pub mod drawn;
 pub mod faults;
--- a/crates/standin/src/plan.rs
+++ b/crates/standin/src/plan.rs
@@ -1,144 +1,146 @@
-//! What a site is made of and what happens to it. Times are milliseconds from the start.
+//! Plans of scripted sites: nodes, pool members, client classes, and the faults that happen. Times are
+//! milliseconds from the start.
 
 use serde::{Deserialize, Serialize};
 
-/// A scripted site.
+/// A scripted site: what it consists of, its traffic and its faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// For all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Names of the nodes; clients come to them in equal parts.
+    /// Names of the nodes; the clients are spread evenly over them.
     pub nodes: Vec<String>,
-    /// Members.
+    /// Pool members.
     pub members: Vec<Member>,
-    /// Classes.
+    /// Classes of clients.
     pub classes: Vec<Class>,
-    /// Tenants: names and parts of the traffic.
+    /// Tenants: names and shares of the traffic.
     pub tenants: Vec<(String, f64)>,
-    /// New clients a second.
+    /// Arrival rate of new clients, per second.
     pub arrivals_per_s: f64,
-    /// Mean time that a client wants its connection for.
+    /// Mean time for which a client wants its connection.
     pub life_ms: f64,
-    /// How long it goes on.
+    /// When the run ends.
     pub until_ms: f64,
-    /// What goes wrong, in any order.
+    /// Faults and other actions, in any order.
     pub script: Vec<Act>,
 }
 
 /// A pool member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Connections that it can serve in time; at 1.5 times as many it turns clients away.
+    /// Number of connections that the member can serve in time. At 1.5 times this number it rejects clients.
     pub slots: u32,
 }
 
 /// A class of clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Part of the traffic.
+    /// Share of the traffic, from 0 to 1.
     pub part: f64,
-    /// What a second is worth.
+    /// Value of one second of a served connection.
     pub worth: f64,
-    /// When its answer is wanted.
+    /// Target for the time until a set-up is answered.
     pub aim_ms: f64,
-    /// When its clients give a try up.
+    /// Time after which a client gives up a set-up that is not answered.
     pub grace_ms: f64,
-    /// When messages are wanted.
+    /// Target for the time that a message takes.
     pub message_aim_ms: f64,
 }
 
-/// Something that is done to the site.
+/// A scripted action and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Act {
-    /// When.
+    /// Time of the action.
     pub at_ms: f64,
-    /// What.
+    /// The action.
     #[serde(flatten)]
     pub what: What,
 }
 
-/// What can be done to a site.
+/// A fault or another action on the site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum What {
-    /// A member takes what it is sent and answers nothing.
+    /// A member reads what it is sent and answers nothing.
     Silent {
-        /// Which.
+        /// Affected member.
         member: String,
-        /// For how long.
+        /// Duration of the fault.
         for_ms: f64,
     },
-    /// Messages at a member take this long.
+    /// A member is slow to handle messages.
     Slow {
-        /// Which.
+        /// Affected member.
         member: String,
-        /// How long a message takes.
+        /// Time that a message takes meanwhile.
         message_ms: f64,
-        /// For how long.
+        /// Duration of the fault.
         for_ms: f64,
     },
-    /// A member turns everything new away.
+    /// A member rejects all new connections.
     Refusing {
-        /// Which.
+        /// Affected member.
         member: String,
-        /// For how long.
+        /// Duration of the fault.
         for_ms: f64,
     },
-    /// A member drains and is gone after this time; what it still holds then breaks.
+    /// A member drains and then ends; the connections that it still holds then break.
     Drain {
-        /// Which.
+        /// Affected member.
         member: String,
-        /// How long it drains.
+        /// How long the member drains.
         for_ms: f64,
     },
-    /// A member's process ends at once; the list says so some seconds later.
+    /// A member's process is killed; discovery lists the member as gone some seconds later.
     Kill {
-        /// Which.
+        /// Affected member.
         member: String,
     },
     /// A member starts, cold.
     Start {
-        /// Which.
+        /// Affected member.
         member: String,
     },
-    /// So many times the usual number of new clients.
+    /// The arrival rate of new clients is multiplied by a factor.
     Rush {
-        /// How many times.
+        /// Factor of the arrival rate.
         factor: f64,
-        /// For how long.
+        /// Duration of the surge.
         for_ms: f64,
     },
-    /// A node's process ends at once, in the middle of a record.
+    /// A node's process is killed in the middle of writing a record.
     KillNode {
-        /// Which.
+        /// Affected node.
         node: String,
     },
     /// A node starts.
     StartNode {
-        /// Which.
+        /// Affected node.
         node: String,
     },
-    /// A node is told to end.
+    /// A node is told to shut down.
     EndNode {
-        /// Which.
+        /// Affected node.
         node: String,
     },
-    /// A node's records are lost for so long: too many came at once.
+    /// A node loses its records, as if too many came at once to be written.
     Deafen {
-        /// Which.
+        /// Affected node.
         node: String,
-        /// For how long.
+        /// Duration of the loss.
         for_ms: f64,
     },
 }
 
 impl Plan {
-    /// The ten-minute incident that `hopmoor-ops demo` plays: two nodes, eight members; troubles alone, one after the
-    /// other on one member, at once on several, and a node that is killed in the middle of them.
+    /// Returns the ten-minute incident that `hopmoor-ops demo` plays, with two nodes and eight members. It
+    /// has single faults, consecutive faults of one member, simultaneous faults of several members, and a
+    /// node that is killed while a member is silent.
     pub fn ten_minutes() -> Plan {
         let act = |at_s: f64, what| Act { at_ms: at_s * 1_000.0, what };
         let member = |n: u32| format!("s-{n}");
@@ -165,11 +167,11 @@
                 act(60.0, What::Silent { member: member(3), for_ms: 20.0 * s }),
                 act(120.0, What::Drain { member: member(5), for_ms: 12.0 * s }),
                 act(140.0, What::Start { member: member(5) }),
-                // Three on one member: silent, drained while it is, started cold.
+                // Three actions on one member: it is silent, is drained while silent, and starts cold.
                 act(200.0, What::Silent { member: member(2), for_ms: 18.0 * s }),
                 act(210.0, What::Drain { member: member(2), for_ms: 8.0 * s }),
                 act(230.0, What::Start { member: member(2) }),
-                // At once on several.
+                // Simultaneous faults of several members.
                 act(300.0, What::Slow { member: member(1), message_ms: 180.0, for_ms: 30.0 * s }),
                 act(305.0, What::Kill { member: member(7) }),
                 act(310.0, What::Silent { member: member(4), for_ms: 15.0 * s }),
@@ -185,37 +187,38 @@
         }
     }
 
-    /// Whether it can be played.
+    /// Validates the plan.
     ///
     /// # Errors
-    /// One line that names the field at fault.
+    /// One line that names the invalid field and its bounds.
     pub fn check(&self) -> Result<(), String> {
-        let named = |field: &str, count: usize| match count {
+        let check_count = |field: &str, count: usize| match count {
             0 => Err(format!("{field}: none")),
             1..=10_000 => Ok(()),
             _ => Err(format!("{field}: more than 10000")),
         };
-        named("nodes", self.nodes.len())?;
-        named("members", self.members.len())?;
-        named("classes", self.classes.len())?;
-        named("tenants", self.tenants.len())?;
-        let within = |field: &str, value: f64, least: f64, most: f64| match value >= least && value <= most {
-            true => Ok(()),
-            false => Err(format!("{field}: {value} is not from {least} to {most}")),
-        };
-        within("arrivals_per_s", self.arrivals_per_s, 0.001, 100_000.0)?;
-        within("life_ms", self.life_ms, 1.0, 86_400_000.0)?;
-        within("until_ms", self.until_ms, 1.0, 7.0 * 86_400_000.0)?;
+        check_count("nodes", self.nodes.len())?;
+        check_count("members", self.members.len())?;
+        check_count("classes", self.classes.len())?;
+        check_count("tenants", self.tenants.len())?;
+        let check_range =
+            |field: &str, value: f64, least: f64, most: f64| match value >= least && value <= most {
+                true => Ok(()),
+                false => Err(format!("{field}: {value} is not from {least} to {most}")),
+            };
+        check_range("arrivals_per_s", self.arrivals_per_s, 0.001, 100_000.0)?;
+        check_range("life_ms", self.life_ms, 1.0, 86_400_000.0)?;
+        check_range("until_ms", self.until_ms, 1.0, 7.0 * 86_400_000.0)?;
         for class in &self.classes {
-            within("classes.part", class.part, 0.0, 1.0)?;
-            within("classes.worth", class.worth, 0.0, 1e6)?;
-            within("classes.grace_ms", class.grace_ms, 10.0, 3_600_000.0)?;
+            check_range("classes.part", class.part, 0.0, 1.0)?;
+            check_range("classes.worth", class.worth, 0.0, 1e6)?;
+            check_range("classes.grace_ms", class.grace_ms, 10.0, 3_600_000.0)?;
         }
         for member in &self.members {
-            within("members.slots", f64::from(member.slots), 1.0, 1e9)?;
+            check_range("members.slots", f64::from(member.slots), 1.0, 1e9)?;
         }
         for act in &self.script {
-            within("script.at_ms", act.at_ms, 0.0, self.until_ms)?;
+            check_range("script.at_ms", act.at_ms, 0.0, self.until_ms)?;
             let (member, node, for_ms) = match &act.what {
                 What::Silent { member, for_ms }
                 | What::Slow { member, for_ms, .. }
@@ -223,7 +226,7 @@
                 | What::Drain { member, for_ms } => (Some(member), None, *for_ms),
                 What::Kill { member } | What::Start { member } => (Some(member), None, 1.0),
                 What::Rush { factor, for_ms } => {
-                    within("script.factor", *factor, 0.001, 1_000.0)?;
+                    check_range("script.factor", *factor, 0.001, 1_000.0)?;
                     (None, None, *for_ms)
                 }
                 What::KillNode { node } | What::StartNode { node } | What::EndNode { node } => {
@@ -231,7 +234,7 @@
                 }
                 What::Deafen { node, for_ms } => (None, Some(node), *for_ms),
             };
-            within("script.for_ms", for_ms, 0.0, 7.0 * 86_400_000.0)?;
+            check_range("script.for_ms", for_ms, 0.0, 7.0 * 86_400_000.0)?;
             if let Some(name) = member.filter(|name| !self.members.iter().any(|member| member.name == **name))
             {
                 return Err(format!("script: no member {name}"));
@@ -243,7 +246,7 @@
         Ok(())
     }
 
-    /// The same site without any trouble, for so long.
+    /// Returns the site of [`Plan::ten_minutes`] without any faults, with this end.
     pub fn calm(until_ms: f64) -> Plan {
         Plan { until_ms, script: Vec::new(), ..Plan::ten_minutes() }
     }
--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -1,5 +1,6 @@
-//! Members and discovery on loopback, for tests and measurements with the real program. They run on one thread of
-//! their own, and end with the [`Stage`].
+//! Stand-ins for members, discovery and clients that listen and connect on loopback, for tests and
+//! measurements of the real program. Members and discovery run on one thread of their own and end when the
+//! [`Stage`] is dropped.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -13,10 +14,10 @@
 use tokio::runtime::Handle;
 use tokio::sync::{oneshot, watch};
 
-/// Lines and heads longer than this are not read on.
-const LONGEST: u64 = 16 * 1024;
+/// Largest line of the line protocol that is read whole; a longer one is read in parts.
+const MAX_LINE_BYTES: u64 = 16 * 1024;
 
-/// The thread that stand-ins run on.
+/// A single-threaded runtime for stand-ins, on a thread of its own. Dropping it kill_receiver the stand-ins.
 pub struct Stage {
     handle: Handle,
     end: Option<oneshot::Sender<()>>,
@@ -24,10 +25,10 @@
 }
 
 impl Stage {
-    /// Begins a thread.
+    /// Starts the thread and its runtime.
     ///
     /// # Errors
-    /// If there is none to be had.
+    /// If the runtime or the thread can't be started.
     pub fn new() -> io::Result<Stage> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
@@ -38,7 +39,7 @@
         Ok(Stage { handle, end: Some(end), thread: Some(thread) })
     }
 
-    /// What else is to run on the thread.
+    /// Returns the handle of the runtime, for other tasks that are to run on the thread.
     pub fn handle(&self) -> &Handle {
         &self.handle
     }
@@ -62,248 +63,256 @@
 }
 
 #[derive(Default)]
-struct Manner {
+struct MemberState {
     silent: AtomicBool,
     refusing: AtomicBool,
-    accepted: AtomicU64,
+    accepted_connections: AtomicU64,
     held: AtomicU64,
-    asked: AtomicU64,
-    served: AtomicU64,
-    /// In microseconds.
-    message: AtomicU64,
+    attempts_received: AtomicU64,
+    attempts_served: AtomicU64,
+    /// Message latency that a probe is answered with, in microseconds.
+    message_us: AtomicU64,
 }
 
-/// A pool member on the line protocol: it serves each `OPEN` with its receipt, answers each line with the same line,
-/// and a probe with its load.
+/// A pool member on the line protocol. It answers each `OPEN` with `UP` and its receipt, a `STATS` probe with
+/// its load, and any other line with the same line.
 pub struct Member {
     address: SocketAddr,
-    manner: Arc<Manner>,
-    gone: watch::Sender<bool>,
+    state: Arc<MemberState>,
+    killed: watch::Sender<bool>,
 }
 
 impl Member {
-    /// Begins to listen.
+    /// Starts a member that listens on a free port of the loopback address.
     ///
     /// # Errors
-    /// If it can't.
+    /// If the member can't listen.
     pub fn start(stage: &Stage, receipt: u32) -> io::Result<Member> {
         let (listener, address) = stage.listen()?;
-        let manner = Arc::new(Manner::default());
-        manner.message.store(2_000, Relaxed);
-        let (gone, is_gone) = watch::channel(false);
-        let of = manner.clone();
+        let state = Arc::new(MemberState::default());
+        state.message_us.store(2_000, Relaxed);
+        let (killed, kill_signal) = watch::channel(false);
+        let shared_state = state.clone();
         stage.handle.spawn(async move {
             loop {
-                let mut ends = is_gone.clone();
+                let mut kill_receiver = kill_signal.clone();
                 let (stream, _) = tokio::select! {
                     accepted = listener.accept() => match accepted {
                         Ok(accepted) => accepted,
                         Err(_) => { tokio::time::sleep(Duration::from_millis(5)).await; continue }
                     },
-                    _ = ends.changed() => return,
+                    _ = kill_receiver.changed() => return,
                 };
-                of.accepted.fetch_add(1, Relaxed);
-                let (of, mut ends) = (of.clone(), is_gone.clone());
+                shared_state.accepted_connections.fetch_add(1, Relaxed);
+                let (shared_state, mut kill_receiver) = (shared_state.clone(), kill_signal.clone());
                 tokio::spawn(async move {
                     let _ = stream.set_nodelay(true);
-                    let mut up = false;
+                    let mut is_up = false;
                     tokio::select! {
-                        _ = serve(stream, receipt, &of, &mut up) => {}
-                        _ = ends.changed() => {}
+                        _ = serve_member(stream, receipt, &shared_state, &mut is_up) => {}
+                        _ = kill_receiver.changed() => {}
                     }
-                    if up {
-                        of.held.fetch_sub(1, Relaxed);
+                    if is_up {
+                        shared_state.held.fetch_sub(1, Relaxed);
                     }
                 });
             }
         });
-        Ok(Member { address, manner, gone })
+        Ok(Member { address, state, killed })
     }
 
-    /// Where it listens.
+    /// Returns the address at which the member listens.
     pub fn address(&self) -> String {
         self.address.to_string()
     }
 
-    /// It takes what it is sent and answers nothing, or answers again: what it has not answered it never will.
+    /// Makes the member silent, or lets it answer again. A silent member reads what it is sent and answers
+    /// nothing; lines that arrive meanwhile are never answered.
     pub fn silent(&self, on: bool) {
-        self.manner.silent.store(on, Relaxed);
+        self.state.silent.store(on, Relaxed);
     }
 
-    /// It turns all new work away.
+    /// Makes the member answer each `OPEN` with `BUSY`, or serve again.
     pub fn refusing(&self, on: bool) {
-        self.manner.refusing.store(on, Relaxed);
+        self.state.refusing.store(on, Relaxed);
     }
 
-    /// How long it says that a message takes.
+    /// Sets the message latency that the member reports to probes.
     pub fn message_ms(&self, ms: f64) {
-        self.manner.message.store((ms * 1_000.0) as u64, Relaxed);
+        self.state.message_us.store((ms * 1_000.0) as u64, Relaxed);
     }
 
-    /// Its process ends: it listens no more, and what it holds breaks.
+    /// Stops the member as if its process ended: it no longer listens, and its connections break.
     pub fn kill(&self) {
-        let _ = self.gone.send(true);
+        let _ = self.killed.send(true);
     }
 
-    /// Connections made to it, of any kind.
+    /// Returns the number of connections accepted so far, probes included.
     pub fn connections(&self) -> u64 {
-        self.manner.accepted.load(Relaxed)
+        self.state.accepted_connections.load(Relaxed)
     }
 
-    /// Connections that it holds.
+    /// Returns the number of open connections on which an `OPEN` was served.
     pub fn held(&self) -> u64 {
-        self.manner.held.load(Relaxed)
+        self.state.held.load(Relaxed)
     }
 
-    /// Attempts that have reached it, and those that it served.
+    /// Returns the number of attempts (`OPEN` lines) received, and of connections on which one was served.
     pub fn attempts(&self) -> (u64, u64) {
-        (self.manner.asked.load(Relaxed), self.manner.served.load(Relaxed))
+        (self.state.attempts_received.load(Relaxed), self.state.attempts_served.load(Relaxed))
     }
 }
 
-async fn serve(stream: TcpStream, receipt: u32, manner: &Manner, up: &mut bool) -> io::Result<()> {
-    let (from, mut to) = stream.into_split();
-    let mut from = BufReader::new(from);
+async fn serve_member(
+    stream: TcpStream,
+    receipt: u32,
+    state: &MemberState,
+    is_up: &mut bool,
+) -> io::Result<()> {
+    let (reader, mut writer) = stream.into_split();
+    let mut reader = BufReader::new(reader);
     let mut line = Vec::new();
     loop {
         line.clear();
-        if (&mut from).take(LONGEST).read_until(b'\n', &mut line).await? == 0 {
+        if (&mut reader).take(MAX_LINE_BYTES).read_until(b'\n', &mut line).await? == 0 {
             return Ok(());
         }
-        let opens = line.starts_with(b"OPEN ");
-        manner.asked.fetch_add(u64::from(opens), Relaxed);
-        if manner.silent.load(Relaxed) {
+        let is_open_request = line.starts_with(b"OPEN ");
+        state.attempts_received.fetch_add(u64::from(is_open_request), Relaxed);
+        if state.silent.load(Relaxed) {
             continue;
         }
-        if opens && manner.refusing.load(Relaxed) {
-            to.write_all(b"BUSY\r\n").await?;
+        if is_open_request && state.refusing.load(Relaxed) {
+            writer.write_all(b"BUSY\r\n").await?;
             continue;
         }
-        if opens {
-            if !std::mem::replace(up, true) {
-                manner.held.fetch_add(1, Relaxed);
-                manner.served.fetch_add(1, Relaxed);
+        if is_open_request {
+            if !std::mem::replace(is_up, true) {
+                state.held.fetch_add(1, Relaxed);
+                state.attempts_served.fetch_add(1, Relaxed);
             }
-            to.write_all(format!("UP {receipt}\r\n").as_bytes()).await?;
+            writer.write_all(format!("UP {receipt}\r\n").as_bytes()).await?;
         } else if line.starts_with(b"STATS") {
-            let (held, ms) = (manner.held.load(Relaxed), manner.message.load(Relaxed) as f64 / 1_000.0);
+            let (held, ms) = (state.held.load(Relaxed), state.message_us.load(Relaxed) as f64 / 1_000.0);
             let report = format!("PONG inflight={held},latency_ms={ms},x0={:.3}\r\n", held as f64 / 10_000.0);
-            to.write_all(report.as_bytes()).await?;
+            writer.write_all(report.as_bytes()).await?;
         } else {
-            to.write_all(&line).await?;
+            writer.write_all(&line).await?;
         }
     }
 }
 
-/// A member as discovery lists it.
+/// An entry of discovery's list: a member's address and health.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
-    /// Where it listens.
+    /// Address at which the member listens.
     pub dial: String,
     /// `Ready`, `Terminating` or `Gone`.
     pub health: &'static str,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// When the member last started, in Unix milliseconds; 0 for long ago.
     pub born_ms: f64,
 }
 
-/// How discovery delivers its answers.
+/// How discovery answers: at once by default, or late, slowly or not at all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Delivery {
-    /// An answer with news begins so long after it is due: discovery is crowded.
+    /// Delay before an answer with changes begins, as reader an overloaded discovery service.
     pub begins_after: Duration,
-    /// And is written in even pieces over this time: discovery is slow.
+    /// Time over which an answer with changes is written in equal chunks, as reader a slow discovery service.
     pub over: Duration,
-    /// It takes calls and answers none.
+    /// Whether calls are accepted but not answered.
     pub silent: bool,
-    /// A call that names a version is answered with what has changed since, not with the whole list.
+    /// Whether a call that names a version is answered with the changes since that version instead of the
+    /// whole list.
     pub changes: bool,
 }
 
-/// Pieces in which a slow answer is written.
-const PIECES: usize = 40;
+/// Number of chunks in which a slow answer is written.
+const RESPONSE_CHUNKS: usize = 40;
 
-/// What discovery holds.
+/// Discovery's list, shared by the calls that it answers.
 #[derive(Default)]
-struct Held {
-    /// The members, with the version in which each changed last.
+struct Directory {
+    /// Entries by the member's name, each with the version in which it last changed.
     list: BTreeMap<String, (u64, Listed)>,
-    /// The last whole list that was written, and its version: with thousands of members it is long in the making.
+    /// The whole list as last serialized, and its version. It is cached because serializing thousands of
+    /// entries takes long.
     whole: Option<(u64, Arc<str>)>,
 }
 
-type Entries = Arc<Mutex<Held>>;
+type SharedDirectory = Arc<Mutex<Directory>>;
 
-/// Discovery: the whole list, and a watch on it, over HTTP/1.1.
+/// A discovery service over HTTP/1.1. It serves the list of members, and long-polling watches on it.
 pub struct Discovery {
     address: SocketAddr,
-    list: Entries,
+    directory: SharedDirectory,
     seq: watch::Sender<u64>,
     delivery: Arc<Mutex<Delivery>>,
     written: Arc<AtomicU64>,
 }
 
 impl Discovery {
-    /// Begins to listen, with nobody on the list.
+    /// Starts a discovery service with an empty list, on a free port of the loopback address.
     ///
     /// # Errors
-    /// If it can't.
+    /// If the service can't listen.
     pub fn start(stage: &Stage) -> io::Result<Discovery> {
         let (listener, address) = stage.listen()?;
-        let (seq, changes) = watch::channel(1);
-        let (list, delivery, written) = (Entries::default(), Arc::default(), Arc::default());
-        let discovery = Discovery { address, list, seq, delivery, written };
-        let (list, delivery, written) =
-            (discovery.list.clone(), discovery.delivery.clone(), discovery.written.clone());
+        let (seq, version_changes) = watch::channel(1);
+        let (directory, delivery, written) = (SharedDirectory::default(), Arc::default(), Arc::default());
+        let discovery = Discovery { address, directory, seq, delivery, written };
+        let (directory, delivery, written) =
+            (discovery.directory.clone(), discovery.delivery.clone(), discovery.written.clone());
         stage.handle.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (list, delivery, written) = (list.clone(), delivery.clone(), written.clone());
-                tokio::spawn(answer(stream, list, changes.clone(), delivery, written));
+                let (directory, delivery, written) = (directory.clone(), delivery.clone(), written.clone());
+                tokio::spawn(serve_discovery(stream, directory, version_changes.clone(), delivery, written));
             }
         });
         Ok(discovery)
     }
 
-    /// How it delivers its answers from now on.
+    /// Sets how the service answers from now on.
     pub fn deliver(&self, delivery: Delivery) {
         *self.delivery.lock().unwrap_or_else(PoisonError::into_inner) = delivery;
     }
 
-    /// Bytes of answers that it has written.
-    pub fn written(&self) -> u64 {
+    /// Returns the number of bytes of all answers so far.
+    pub fn bytes_written(&self) -> u64 {
         self.written.load(Relaxed)
     }
 
-    /// Where it listens.
+    /// Returns the address at which the service listens.
     pub fn address(&self) -> String {
         self.address.to_string()
     }
 
-    /// Puts a member on the list, or changes it; watches hear of it at once.
+    /// Adds a member to the list or changes its entry. Open watches are answered at once.
     pub fn set(&self, name: &str, dial: &str, health: &'static str) {
         self.set_all(&[(name.to_owned(), Listed { dial: dial.to_owned(), health, born_ms: 0.0 })]);
     }
 
-    /// Puts many members on the list, or changes them, in one version.
+    /// Adds many members to the list or changes their entries, all in one new version.
     pub fn set_all(&self, members: &[(String, Listed)]) {
         let seq = *self.seq.borrow() + 1;
-        let mut held = self.list.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut guard = self.directory.lock().unwrap_or_else(PoisonError::into_inner);
         for (name, listed) in members {
-            held.list.insert(name.clone(), (seq, listed.clone()));
+            guard.list.insert(name.clone(), (seq, listed.clone()));
         }
-        drop(held);
+        drop(guard);
         self.seq.send_replace(seq);
     }
 }
 
-async fn answer(
+async fn serve_discovery(
     stream: TcpStream,
-    list: Entries,
-    mut changes: watch::Receiver<u64>,
+    directory: SharedDirectory,
+    mut version_changes: watch::Receiver<u64>,
     delivery: Arc<Mutex<Delivery>>,
     written: Arc<AtomicU64>,
 ) -> io::Result<()> {
-    let (from, mut to) = stream.into_split();
-    let mut lines = BufReader::new(from.take(1 << 30)).lines();
+    let (reader, mut writer) = stream.into_split();
+    let mut lines = BufReader::new(reader.take(1 << 30)).lines();
     let mut call = None;
     while let Some(line) = lines.next_line().await? {
         if !line.is_empty() {
@@ -313,95 +322,102 @@
             continue;
         }
         let Some(call) = call.take() else { continue };
-        let number = |name: &str| {
+        let query_number = |name: &str| {
             let (_, rest) = call.split_once(name)?;
             rest.chars().take_while(char::is_ascii_digit).collect::<String>().parse::<u64>().ok()
         };
-        let since = number("since=");
-        if let (Some(since), Some(wait)) = (since, number("timeout_ms=")) {
-            let newer = changes.wait_for(|seq| *seq > since);
-            let _ = tokio::time::timeout(Duration::from_millis(wait.min(60_000)), newer).await;
+        let since = query_number("since=");
+        if let (Some(since), Some(wait_ms)) = (since, query_number("timeout_ms=")) {
+            let newer_version = version_changes.wait_for(|seq| *seq > since);
+            let _ = tokio::time::timeout(Duration::from_millis(wait_ms.min(60_000)), newer_version).await;
         }
-        let now = || *delivery.lock().unwrap_or_else(PoisonError::into_inner);
-        if now().silent {
+        let behavior = || *delivery.lock().unwrap_or_else(PoisonError::into_inner);
+        if behavior().silent {
             std::future::pending::<()>().await;
         }
-        let seq = *changes.borrow();
-        let news = since.is_none_or(|since| seq > since);
-        if news {
-            tokio::time::sleep(now().begins_after).await;
+        let seq = *version_changes.borrow();
+        let has_news = since.is_none_or(|since| seq > since);
+        if has_news {
+            tokio::time::sleep(behavior().begins_after).await;
         }
-        let from = since.filter(|since| now().changes && *since > 1);
-        let body = list.lock().unwrap_or_else(PoisonError::into_inner).body(seq, news, from);
+        let changed_after = since.filter(|since| behavior().changes && *since > 1);
+        let body =
+            directory.lock().unwrap_or_else(PoisonError::into_inner).body_text(seq, has_news, changed_after);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         written.fetch_add(answer.len() as u64, Relaxed);
-        let over = if news { now().over } else { Duration::ZERO };
-        write_over(&mut to, answer.as_bytes(), over).await?;
+        let duration = if has_news { behavior().over } else { Duration::ZERO };
+        write_in_chunks(&mut writer, answer.as_bytes(), duration).await?;
     }
     Ok(())
 }
 
-/// Writes in even pieces over this time.
-async fn write_over(
+/// Writes these bytes in equal chunks over this duration.
+async fn write_in_chunks(
     to: &mut tokio::net::tcp::OwnedWriteHalf,
     bytes: &[u8],
-    over: Duration,
+    duration: Duration,
 ) -> io::Result<()> {
-    if over.is_zero() {
+    if duration.is_zero() {
         return to.write_all(bytes).await;
     }
-    for piece in bytes.chunks(bytes.len().div_ceil(PIECES)) {
-        to.write_all(piece).await?;
-        tokio::time::sleep(over / PIECES as u32).await;
+    for chunk in bytes.chunks(bytes.len().div_ceil(RESPONSE_CHUNKS)) {
+        to.write_all(chunk).await?;
+        tokio::time::sleep(duration / RESPONSE_CHUNKS as u32).await;
     }
     Ok(())
 }
 
-impl Held {
-    fn body(&mut self, seq: u64, news: bool, from: Option<u64>) -> Arc<str> {
-        if !news || from.is_some() {
-            return body(seq, news, from, &self.list).to_string().into();
+impl Directory {
+    fn body_text(&mut self, seq: u64, has_news: bool, changed_after: Option<u64>) -> Arc<str> {
+        if !has_news || changed_after.is_some() {
+            return build_body(seq, has_news, changed_after, &self.list).to_string().into();
         }
         if let Some((_, whole)) = self.whole.as_ref().filter(|(at, _)| *at == seq) {
             return whole.clone();
         }
-        let whole: Arc<str> = body(seq, news, from, &self.list).to_string().into();
+        let whole: Arc<str> = build_body(seq, has_news, changed_after, &self.list).to_string().into();
         self.whole = Some((seq, whole.clone()));
         whole
     }
 }
 
-/// The whole list, or what has changed after the version `from`; nobody where there are no news.
-fn body(seq: u64, news: bool, from: Option<u64>, list: &BTreeMap<String, (u64, Listed)>) -> Value {
+/// Builds the body of an answer: the whole list, or the entries that changed after a version. The list is
+/// empty if the caller already has the current version.
+fn build_body(
+    seq: u64,
+    has_news: bool,
+    changed_after: Option<u64>,
+    list: &BTreeMap<String, (u64, Listed)>,
+) -> Value {
     let host = |(name, (_, listed)): (&String, &(u64, Listed))| {
         json!({"host": name, "dial": listed.dial, "site": "a", "block": 0, "health": listed.health,
             "share": 1.0, "born_ms": listed.born_ms})
     };
-    // The whole list has no one that is gone.
-    let wanted = |(_, (changed, listed)): &(&String, &(u64, Listed))| {
-        news && from.map_or(listed.health != "Gone", |from| *changed > from)
+    // Members that are gone are left out of the whole list.
+    let is_included = |(_, (changed, listed)): &(&String, &(u64, Listed))| {
+        has_news && changed_after.map_or(listed.health != "Gone", |version| *changed > version)
     };
-    let hosts: Vec<Value> = list.iter().filter(wanted).map(host).collect();
-    json!({"seq": seq, "whole": news && from.is_none(), "hosts": hosts})
+    let hosts: Vec<Value> = list.iter().filter(is_included).map(host).collect();
+    json!({"seq": seq, "whole": has_news && changed_after.is_none(), "hosts": hosts})
 }
 
-/// A client on the line protocol.
+/// A client that speaks the line protocol to a node.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects to a node.
     ///
     /// # Errors
-    /// If it can't.
+    /// If the connection can't be opened.
     pub async fn connect(address: &str) -> io::Result<Client> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(Client { stream: BufReader::with_capacity(256, stream) })
     }
 
-    /// Sends a line, without its end, and reads one; empty at the end of the connection.
+    /// Sends a line, given without its line end, and reads one line as [`Client::read`] does.
     ///
     /// # Errors
     /// If the connection breaks.
@@ -410,13 +426,13 @@
         self.read().await
     }
 
-    /// Reads a line, without its end; empty at the end of the connection.
+    /// Reads a line and returns it without its line end. It is empty if the node has closed the connection.
     ///
     /// # Errors
     /// If the connection breaks.
     pub async fn read(&mut self) -> io::Result<String> {
         let mut line = Vec::new();
-        (&mut self.stream).take(LONGEST).read_until(b'\n', &mut line).await?;
+        (&mut self.stream).take(MAX_LINE_BYTES).read_until(b'\n', &mut line).await?;
         Ok(String::from_utf8_lossy(&line).trim_end().to_owned())
     }
 }
--- a/crates/standin/src/truth.rs
+++ b/crates/standin/src/truth.rs
@@ -1,65 +1,65 @@
-//! What really happened at a scripted site, as no node can know it.
+//! The ground truth of a scripted run: what really happened, including what no node can know.
 
 use serde::{Deserialize, Serialize};
 
-/// The truth of a run.
+/// The ground truth of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Truth {
     /// When the run began, in Unix milliseconds.
     pub began: f64,
-    /// Worth of all seconds that clients wanted.
+    /// Value of all seconds for which clients wanted a connection.
     pub wanted: f64,
-    /// Worth of those in which they stood at a member that served them in time.
+    /// Value of those seconds in which a client was connected to a member that served it in time.
     pub served: f64,
-    /// Clients that wanted a connection.
+    /// Number of clients that wanted a connection.
     pub clients: u64,
-    /// What was done, when, in milliseconds from the start.
+    /// Changes that the script made.
     pub changes: Vec<Change>,
-    /// Answers that clients got, by what they were.
+    /// Number of rejects that clients received.
     pub rejected: u64,
-    /// Transactions that failed.
+    /// Number of transactions that failed.
     pub failed: u64,
-    /// Clients that were moved.
+    /// Number of times that a client was moved.
     pub moved: u64,
 }
 
-/// A change that the script made.
+/// The begin or the end of a condition that the script causes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// When, in milliseconds from the start.
+    /// Time of the change, in milliseconds from the start.
     pub at_ms: f64,
-    /// To which member or node.
+    /// Member or node that is affected.
     pub subject: String,
-    /// What it was from then on.
+    /// Condition that begins or ends.
     pub what: Kind,
-    /// Whether it began, or ended.
+    /// True if the condition begins, false if it ends.
     pub begins: bool,
 }
 
-/// Kinds of change.
+/// Conditions of members and nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// It answers nothing.
+    /// The member answers nothing.
     Silent,
-    /// Its messages are late.
+    /// The member is slow to handle messages.
     Slow,
-    /// It turns everything new away.
+    /// The member rejects all new connections.
     Refusing,
-    /// It is being drained.
+    /// The member is draining.
     Draining,
-    /// It is not there.
+    /// The member is not running.
     Gone,
-    /// It has just started.
+    /// The member has just started.
     Cold,
-    /// A node runs.
+    /// The node is running.
     Running,
-    /// A node's records are being lost.
+    /// The node loses its records.
     Deaf,
 }
 
 impl Truth {
-    /// Part of the wanted worth that was not served.
+    /// Returns the share of the wanted value that was not served, from 0 to 1; 0 if no connection was wanted.
     pub fn share_lost(&self) -> f64 {
         if self.wanted > 0.0 { 1.0 - self.served / self.wanted } else { 0.0 }
     }
