--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -276,8 +276,8 @@
     }
 
     /// Returns whether what was done to a node is a reason to hold it dead, for it to hold others dead, or
-    /// for it to rejoin: it is not running or is shutting down, or it was killed, ended, started or stopped
-    /// for a second or longer less than `grace` seconds ago.
+    /// for it to rejoin. It is one if the node is not running or is shutting down, or if less than `grace`
+    /// seconds ago it was killed, ended, started, or continued after a stop of at least a second.
     fn is_excused(&self, schedule: &Schedule, at: f64, node: usize, grace: f64) -> bool {
         let (was, since) = self.was(node, at);
         if was != Was::Up || self.last_event_at(node, What::Told, at).is_some_and(|told_at| told_at > since) {
--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -62,12 +62,13 @@
     }
 }
 
+/// A member's behaviour, as set by the test, and its counters.
 #[derive(Default)]
 struct MemberState {
     silent: AtomicBool,
     refusing: AtomicBool,
     accepted_connections: AtomicU64,
-    held: AtomicU64,
+    open_connections: AtomicU64,
     attempts_received: AtomicU64,
     attempts_served: AtomicU64,
     /// Message latency that a probe is answered with, in microseconds.
@@ -113,7 +114,7 @@
                         _ = kill_receiver.changed() => {}
                     }
                     if is_up {
-                        shared_state.held.fetch_sub(1, Relaxed);
+                        shared_state.open_connections.fetch_sub(1, Relaxed);
                     }
                 });
             }
@@ -154,7 +155,7 @@
 
     /// Returns the number of open connections on which an `OPEN` was served.
     pub fn held(&self) -> u64 {
-        self.state.held.load(Relaxed)
+        self.state.open_connections.load(Relaxed)
     }
 
     /// Returns the number of attempts (`OPEN` lines) received, and of connections on which one was served.
@@ -188,12 +189,13 @@
         }
         if is_open_request {
             if !std::mem::replace(is_up, true) {
-                state.held.fetch_add(1, Relaxed);
+                state.open_connections.fetch_add(1, Relaxed);
                 state.attempts_served.fetch_add(1, Relaxed);
             }
             writer.write_all(format!("UP {receipt}\r\n").as_bytes()).await?;
         } else if line.starts_with(b"STATS") {
-            let (held, ms) = (state.held.load(Relaxed), state.message_us.load(Relaxed) as f64 / 1_000.0);
+            let (held, ms) =
+                (state.open_connections.load(Relaxed), state.message_us.load(Relaxed) as f64 / 1_000.0);
             let report = format!("PONG inflight={held},latency_ms={ms},x0={:.3}\r\n", held as f64 / 10_000.0);
             writer.write_all(report.as_bytes()).await?;
         } else {
