--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// A member's behaviour, as set by the test, and its counters.
+/// A member's behavior, as set by the test, and its counters.
 #[derive(Default)]
 struct MemberState {
     silent: AtomicBool,
