--- a/crates/standin/examples/recorder_cost.rs
+++ b/crates/standin/examples/recorder_cost.rs
@@ -13,7 +13,7 @@
 //! - `calls`: it serves the admin interface, and its metrics are requested ten times a second.
 //! - `fleet`: it is in a fleet with a third node.
 
-use hopmoor_standin::sockets::{Client, Discovery, Member, Stage};
+use hopmoor_standin::sockets::{Client, Discovery, Member, StandInRuntime};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::path::Path;
@@ -227,7 +227,7 @@
     };
     let folder = std::env::temp_dir().join(format!("hopmoor-cost-{}", std::process::id()));
     std::fs::create_dir(&folder)?;
-    let stage = Stage::new()?;
+    let stage = StandInRuntime::new()?;
     let discovery = Discovery::start(&stage)?;
     let members = (1..=10).map(|receipt| Member::start(&stage, receipt)).collect::<Result<Vec<_>, _>>()?;
     for (at, member) in members.iter().enumerate() {
--- a/crates/standin/examples/scale.rs
+++ b/crates/standin/examples/scale.rs
@@ -19,7 +19,7 @@
 //! The bounds are computed from the figures measured at 200 hosts.
 
 use clap::Parser;
-use hopmoor_standin::sockets::{Client, Delivery, Discovery, Listed, Member, Stage};
+use hopmoor_standin::sockets::{Client, Discovery, DiscoveryEntry, Member, ResponseBehavior, StandInRuntime};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::io::{BufRead, BufReader};
@@ -208,7 +208,7 @@
 }
 
 struct SimulatedDay {
-    stage: Stage,
+    stage: StandInRuntime,
     hosts: Vec<Member>,
     discovery: Discovery,
     rng: StdRng,
@@ -227,12 +227,12 @@
 
 impl SimulatedDay {
     fn new(hosts: usize, seed: u64) -> Result<SimulatedDay, BoxError> {
-        let stage = Stage::new()?;
+        let stage = StandInRuntime::new()?;
         let discovery = Discovery::start(&stage)?;
         let hosts =
             (0..hosts).map(|index| Member::start(&stage, index as u32 + 1)).collect::<Result<Vec<_>, _>>()?;
         let listed = |(index, host): (usize, &Member)| {
-            (host_name(index), Listed { dial: host.address(), health: "Ready", born_ms: 0.0 })
+            (host_name(index), DiscoveryEntry { dial: host.address(), health: "Ready", born_ms: 0.0 })
         };
         discovery.set_all(&hosts.iter().enumerate().map(listed).collect::<Vec<_>>());
         let folder = tempfile::tempdir()?;
@@ -331,7 +331,7 @@
                 1 if !self.has_standing_connection(index) => ("Gone", 0.0),
                 _ => ("Ready", unix_ms()),
             };
-            (host_name(index), Listed { dial: self.hosts[index].address(), health, born_ms })
+            (host_name(index), DiscoveryEntry { dial: self.hosts[index].address(), health, born_ms })
         };
         let changed: Vec<_> = (0..change_count).map(changed).collect();
         self.discovery.set_all(&changed);
@@ -339,13 +339,13 @@
 
     /// Runs one process of the node for its lifetime, with load, host changes and discovery faults.
     async fn run_process(&mut self, program: &Path, lifetime: Duration) -> Result<Process, BoxError> {
-        let slow_discovery = Delivery {
-            begins_after: Duration::from_millis(500),
+        let slow_discovery = ResponseBehavior {
+            start_delay: Duration::from_millis(500),
             over: Duration::from_millis(1_500),
             silent: false,
-            changes: true,
+            incremental: true,
         };
-        self.discovery.deliver(slow_discovery);
+        self.discovery.set_response_behavior(slow_discovery);
         let mut process = Process::start(program, &self.config()?)?;
         let address = process.address.clone();
         self.reconnect_standing(&address, lifetime);
@@ -360,9 +360,12 @@
             let delivery = if run_time < Duration::from_secs(6) {
                 slow_discovery
             } else {
-                Delivery { changes: true, ..Delivery::default() }
+                ResponseBehavior { incremental: true, ..ResponseBehavior::default() }
             };
-            self.discovery.deliver(Delivery { silent: DISCOVERY_OUTAGE.contains(&run_time), ..delivery });
+            self.discovery.set_response_behavior(ResponseBehavior {
+                silent: DISCOVERY_OUTAGE.contains(&run_time),
+                ..delivery
+            });
             while (arrivals as f64) < run_time.as_secs_f64() * ARRIVALS_PER_SECOND {
                 arrivals += 1;
                 self.open_connection(&address, arrivals);
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -47,39 +47,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum Fault {
-    /// Starts nodes. [`Schedule::starts`] tells which nodes already run from the beginning.
+    /// Starts nodes. [`Schedule::runs_initially`] tells which nodes already run from the beginning.
     Start {
         /// Nodes to start.
-        nodes: Who,
+        nodes: NodeSet,
     },
     /// Sends SIGKILL to nodes.
     Kill {
         /// Nodes to kill.
-        nodes: Who,
+        nodes: NodeSet,
     },
     /// Sends SIGTERM to nodes.
     Term {
         /// Nodes to terminate.
-        nodes: Who,
+        nodes: NodeSet,
     },
     /// Sends SIGSTOP to nodes, and SIGCONT after `seconds`.
     Stop {
         /// Nodes to stop.
-        nodes: Who,
+        nodes: NodeSet,
         /// How long they are stopped.
         seconds: f64,
     },
     /// Degrades or cuts the links from some nodes to others.
     Link {
         /// Sending nodes.
-        from: Who,
+        from: NodeSet,
         /// Receiving nodes.
-        to: Who,
+        to: NodeSet,
         /// Whether the links in the opposite direction are affected as well.
         #[serde(default)]
         both: bool,
         /// Condition of the links.
-        how: Manner,
+        how: LinkCondition,
         /// How long the condition lasts.
         seconds: f64,
     },
@@ -105,7 +105,7 @@
     /// Starts or ends the draining of nodes.
     Drain {
         /// Nodes to drain or to resume.
-        nodes: Who,
+        nodes: NodeSet,
         /// True to drain, false to take clients again.
         on: bool,
     },
@@ -137,7 +137,7 @@
 /// A set of nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Who {
+pub enum NodeSet {
     /// All nodes.
     All,
     /// The listed nodes.
@@ -149,14 +149,14 @@
     Zone(usize),
 }
 
-impl Who {
+impl NodeSet {
     /// Returns whether the set includes a node, in a fleet spread over this many zones.
-    pub fn has(&self, node: usize, zones: usize) -> bool {
+    pub fn includes(&self, node: usize, zones: usize) -> bool {
         match self {
-            Who::All => true,
-            Who::Only(nodes) => nodes.contains(&node),
-            Who::But(nodes) => !nodes.contains(&node),
-            Who::Zone(zone) => node % zones.max(1) == *zone,
+            NodeSet::All => true,
+            NodeSet::Only(nodes) => nodes.contains(&node),
+            NodeSet::But(nodes) => !nodes.contains(&node),
+            NodeSet::Zone(zone) => node % zones.max(1) == *zone,
         }
     }
 }
@@ -164,7 +164,7 @@
 /// Condition of a link between two nodes. The default is a link without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Manner {
+pub struct LinkCondition {
     /// Whether the link passes nothing.
     pub cut: bool,
     /// Share of datagrams lost, from 0 to 1.
@@ -182,12 +182,12 @@
     pub cut_after: u64,
 }
 
-impl Manner {
+impl LinkCondition {
     /// Returns the condition of a link that is under both conditions at once.
-    pub fn combined_with(self, other: Manner) -> Manner {
+    pub fn combined_with(self, other: LinkCondition) -> LinkCondition {
         // 0 stands for no limit.
         let stricter_limit = |a: f64, b: f64| if a == 0.0 || (b > 0.0 && b < a) { b } else { a };
-        Manner {
+        LinkCondition {
             cut: self.cut || other.cut,
             loss: 1.0 - (1.0 - self.loss) * (1.0 - other.loss),
             delay_ms: self.delay_ms + other.delay_ms,
@@ -218,14 +218,15 @@
 
     /// Returns the condition of the link from one node to another at a time, with all overlapping faults
     /// combined.
-    pub fn link(&self, at: f64, from: usize, to: usize) -> Manner {
-        let mut condition = Manner::default();
+    pub fn link(&self, at: f64, from: usize, to: usize) -> LinkCondition {
+        let mut condition = LinkCondition::default();
         for step in self.steps.iter().take_while(|step| step.at <= at) {
             if let Fault::Link { from: senders, to: receivers, both, how, seconds } = &step.fault
                 && at < step.at + seconds
             {
-                let forward = senders.has(from, self.zones) && receivers.has(to, self.zones);
-                let backward = *both && senders.has(to, self.zones) && receivers.has(from, self.zones);
+                let forward = senders.includes(from, self.zones) && receivers.includes(to, self.zones);
+                let backward =
+                    *both && senders.includes(to, self.zones) && receivers.includes(from, self.zones);
                 if forward || backward {
                     condition = condition.combined_with(*how);
                 }
@@ -236,10 +237,10 @@
 
     /// Returns whether a node runs from the beginning. It does not if the schedule's first `Start` includes
     /// it and no earlier step kills or terminates it.
-    pub fn starts(&self, node: usize) -> bool {
+    pub fn runs_initially(&self, node: usize) -> bool {
         let mut starts_and_ends = self.steps.iter().filter_map(|step| match &step.fault {
-            Fault::Start { nodes } => Some(nodes.has(node, self.zones)),
-            Fault::Kill { nodes } | Fault::Term { nodes } if nodes.has(node, self.zones) => Some(false),
+            Fault::Start { nodes } => Some(nodes.includes(node, self.zones)),
+            Fault::Kill { nodes } | Fault::Term { nodes } if nodes.includes(node, self.zones) => Some(false),
             _ => None,
         });
         starts_and_ends.next() != Some(true)
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -11,26 +11,26 @@
     /// The schedule that ran.
     pub schedule: Option<Schedule>,
     /// What was done to the nodes' processes, in the order in which it was done.
-    pub acts: Vec<Act>,
+    pub acts: Vec<NodeEvent>,
     /// The nodes' answers, in the order of their times.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<Observation>,
 }
 
 /// An event in the life of a node's process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Act {
+pub struct NodeEvent {
     /// Time of the event, in seconds from the start.
     pub at: f64,
     /// Node that it happened to.
     pub node: usize,
     /// Kind of the event.
-    pub what: What,
+    pub what: NodeEventKind,
 }
 
 /// Kinds of events in the life of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum NodeEventKind {
     /// The process started.
     Started,
     /// The process was killed (SIGKILL).
@@ -47,7 +47,7 @@
 
 /// One node's view of the fleet, and what it reports of itself, at one time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// When the answer arrived, in seconds from the start.
     pub at: f64,
     /// Node that answered.
@@ -77,7 +77,7 @@
 
 /// State of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Was {
+pub enum ProcessState {
     /// It was running.
     Up,
     /// It was not running.
@@ -88,22 +88,22 @@
 
 impl History {
     /// Returns the state of a node's process at a time, and since when it had been in that state.
-    pub fn was(&self, node: usize, at: f64) -> (Was, f64) {
-        let mut was = (Was::Down, 0.0);
+    pub fn process_state(&self, node: usize, at: f64) -> (ProcessState, f64) {
+        let mut process_state = (ProcessState::Down, 0.0);
         for act in self.acts.iter().filter(|act| act.node == node && act.at <= at) {
-            was = match act.what {
-                What::Started => (Was::Up, act.at),
-                What::Killed | What::Ended => (Was::Down, act.at),
-                What::Stopped => (Was::Stopped, act.at),
-                What::Continued => (Was::Up, act.at),
-                What::Told => was,
+            process_state = match act.what {
+                NodeEventKind::Started => (ProcessState::Up, act.at),
+                NodeEventKind::Killed | NodeEventKind::Ended => (ProcessState::Down, act.at),
+                NodeEventKind::Stopped => (ProcessState::Stopped, act.at),
+                NodeEventKind::Continued => (ProcessState::Up, act.at),
+                NodeEventKind::Told => process_state,
             };
         }
-        was
+        process_state
     }
 
     /// Returns the time of a node's last event of this kind, at or before a time.
-    fn last_event_at(&self, node: usize, what: What, at: f64) -> Option<f64> {
+    fn last_event_at(&self, node: usize, what: NodeEventKind, at: f64) -> Option<f64> {
         let mut acts = self.acts.iter().rev();
         acts.find(|act| act.node == node && act.what == what && act.at <= at).map(|act| act.at)
     }
@@ -111,7 +111,7 @@
     /// Returns how long after `since` the first other node held this node dead or left, and how long after
     /// `since` every other node that ran without interruption to the end had done so. `None` where that did
     /// not happen.
-    pub fn end_seen(&self, node: usize, since: f64) -> (Option<f64>, Option<f64>) {
+    pub fn end_detection_delays(&self, node: usize, since: f64) -> (Option<f64>, Option<f64>) {
         let mut first_delays: BTreeMap<usize, f64> = BTreeMap::new();
         for seen in self.seen.iter().filter(|seen| seen.at >= since && seen.node != node) {
             if seen.states.get(&node).is_some_and(|state| state == "dead" || state == "left") {
@@ -133,7 +133,8 @@
         let end = self.seen.last().map_or(since, |seen| seen.at);
         (0..nodes)
             .filter(|node| {
-                self.was(*node, since).0 == Was::Up && self.was(*node, end) == self.was(*node, since)
+                self.process_state(*node, since).0 == ProcessState::Up
+                    && self.process_state(*node, end) == self.process_state(*node, since)
             })
             .collect()
     }
@@ -141,11 +142,12 @@
     /// Returns how long after `since` the views converged for good: all nodes that run at the end have equal
     /// digests, and each holds exactly the running nodes alive or suspect. `None` if the views have not
     /// converged by the end.
-    pub fn settled(&self, since: f64) -> Option<f64> {
+    pub fn convergence_time(&self, since: f64) -> Option<f64> {
         let end = self.seen.last().map_or(since, |seen| seen.at);
         let count = self.schedule.as_ref().map_or(0, |schedule| schedule.nodes);
-        let nodes: Vec<usize> = (0..count).filter(|node| self.was(*node, end).0 == Was::Up).collect();
-        let mut latest: BTreeMap<usize, &Seen> = BTreeMap::new();
+        let nodes: Vec<usize> =
+            (0..count).filter(|node| self.process_state(*node, end).0 == ProcessState::Up).collect();
+        let mut latest: BTreeMap<usize, &Observation> = BTreeMap::new();
         let mut converged_at = None;
         for seen in &self.seen {
             latest.insert(seen.node, seen);
@@ -154,7 +156,7 @@
             }
             let mut all = nodes.iter().map(|node| latest.get(node));
             let digest = latest.get(&seen.node).map(|seen| &seen.digest);
-            let is_correct = |seen: &&Seen| {
+            let is_correct = |seen: &&Observation| {
                 let listed_alive = |node: &usize| {
                     seen.states.get(node).is_some_and(|state| state == "alive" || state == "suspect")
                 };
@@ -199,7 +201,7 @@
     /// answer arrived and ends when the last one was requested.
     pub fn drained(&self) -> Vec<(usize, f64, f64)> {
         let mut spans: Vec<(usize, f64, f64)> = Vec::new();
-        let mut latest: BTreeMap<usize, &Seen> = BTreeMap::new();
+        let mut latest: BTreeMap<usize, &Observation> = BTreeMap::new();
         for seen in &self.seen {
             let previous = latest.insert(seen.node, seen);
             let Some(previous) = previous.filter(|previous| previous.drains && seen.drains) else { continue };
@@ -216,7 +218,7 @@
 
     /// Returns the largest number of nodes that were draining at the same time, and when that was first
     /// reached.
-    pub fn most_drained(&self) -> (usize, f64) {
+    pub fn max_concurrent_drains(&self) -> (usize, f64) {
         let spans = self.drained();
         let draining_at = |at: f64| spans.iter().filter(|(_, from, to)| *from <= at && at < *to).count();
         let counts = spans.iter().map(|(_, from, _)| (draining_at(*from), *from));
@@ -225,12 +227,14 @@
 
     /// Summarizes the history in a few lines: each end of a process and when it was detected, when the views
     /// converged, and the numbers of deaths and of rejoins without a reason.
-    pub fn told(&self) -> String {
+    pub fn summary(&self) -> String {
         use std::fmt::Write as _;
         let mut text = String::new();
         let duration = |delay: Option<f64>| delay.map_or("never".to_owned(), |delay| format!("{delay:.2} s"));
-        for act in self.acts.iter().filter(|act| matches!(act.what, What::Killed | What::Ended)) {
-            let (first, all) = self.end_seen(act.node, act.at);
+        for act in
+            self.acts.iter().filter(|act| matches!(act.what, NodeEventKind::Killed | NodeEventKind::Ended))
+        {
+            let (first, all) = self.end_detection_delays(act.node, act.at);
             let _ = writeln!(
                 text,
                 "n-{:04} {:?} at {:.1} s: seen by one after {}, by all after {}",
@@ -246,18 +250,18 @@
             let _ = writeln!(
                 text,
                 "settled after the last fault ({faults_end:.1} s): {}",
-                duration(self.settled(faults_end))
+                duration(self.convergence_time(faults_end))
             );
         }
         let _ = writeln!(text, "nodes held dead without a reason: {}", self.false_deaths(10.0).len());
         let _ =
-            writeln!(text, "nodes that came again without a reason: {}", self.needless_returns(10.0).len());
+            writeln!(text, "nodes that came again without a reason: {}", self.needless_rejoins(10.0).len());
         text
     }
 
     /// Returns the needless rejoins: the times at which a node reports a new incarnation without a reason.
     /// The reasons are those of [`History::false_deaths`]; a cut between the node and any other node counts.
-    pub fn needless_returns(&self, grace: f64) -> Vec<(f64, usize)> {
+    pub fn needless_rejoins(&self, grace: f64) -> Vec<(f64, usize)> {
         let Some(schedule) = &self.schedule else { return Vec::new() };
         let mut latest: BTreeMap<usize, u64> = BTreeMap::new();
         let mut found = Vec::new();
@@ -279,17 +283,22 @@
     /// for it to rejoin. It is one if the node is not running or is shutting down, or if less than `grace`
     /// seconds ago it was killed, ended, started, or continued after a stop of at least a second.
     fn is_excused(&self, schedule: &Schedule, at: f64, node: usize, grace: f64) -> bool {
-        let (was, since) = self.was(node, at);
-        if was != Was::Up || self.last_event_at(node, What::Told, at).is_some_and(|told_at| told_at > since) {
+        let (process_state, since) = self.process_state(node, at);
+        if process_state != ProcessState::Up
+            || self.last_event_at(node, NodeEventKind::Told, at).is_some_and(|told_at| told_at > since)
+        {
             return true;
         }
         let recent = |what| self.last_event_at(node, what, at).is_some_and(|event_at| at - event_at < grace);
         let stopped = schedule.steps.iter().any(|step| {
             matches!(&step.fault, Fault::Stop { nodes, seconds }
-                if *seconds >= 1.0 && nodes.has(node, schedule.zones)
+                if *seconds >= 1.0 && nodes.includes(node, schedule.zones)
                 && step.at <= at && at < step.at + seconds + grace)
         });
-        recent(What::Killed) || recent(What::Ended) || stopped || recent(What::Started)
+        recent(NodeEventKind::Killed)
+            || recent(NodeEventKind::Ended)
+            || stopped
+            || recent(NodeEventKind::Started)
     }
 }
 
@@ -303,8 +312,8 @@
         if !how.cut || at < step.at || at >= step.at + seconds + grace {
             return false;
         }
-        let has = |who: &crate::faults::Who, node| who.has(node, schedule.zones);
-        (has(from, a) && has(to, b)) || (has(from, b) && (has(to, a) || !both))
+        let includes = |who: &crate::faults::NodeSet, node| who.includes(node, schedule.zones);
+        (includes(from, a) && includes(to, b)) || (includes(from, b) && (includes(to, a) || !both))
     };
     schedule.steps.iter().any(cuts)
 }
--- a/crates/standin/src/drawn.rs
+++ b/crates/standin/src/random.rs
@@ -1,6 +1,6 @@
 //! Generates random schedules of faults from a seed, and shortens a schedule that makes a check fail.
 
-use crate::faults::{Fault, Manner, Schedule, Step, Who};
+use crate::faults::{Fault, LinkCondition, NodeSet, Schedule, Step};
 
 /// A small pseudo-random generator (SplitMix64). It is written out here so that a seed yields the same
 /// schedule on every machine and with every version of the dependencies.
@@ -39,7 +39,7 @@
 }
 
 /// Kinds of faults that a generated schedule can have.
-pub const KINDS: [&str; 7] = ["kill", "term", "stop", "cut", "loss", "move", "drain"];
+pub const FAULT_KINDS: [&str; 7] = ["kill", "term", "stop", "cut", "loss", "move", "drain"];
 /// Shortest and longest time from the start of one fault to the start of the next.
 const FAULT_INTERVAL_SECONDS: (f64, f64) = (1.0, 6.0);
 /// Length of the last part of a schedule, in which no fault begins, so that the views can converge.
@@ -49,10 +49,10 @@
     /// Generates a schedule with these kinds of faults.
     ///
     /// # Errors
-    /// If a kind is not one of [`KINDS`].
-    pub fn drawn(seed: u64, nodes: usize, seconds: f64, kinds: &[String]) -> Result<Schedule, String> {
-        if let Some(other) = kinds.iter().find(|kind| !KINDS.contains(&kind.as_str())) {
-            return Err(format!("unknown kind of fault '{other}'; known kinds: {}", KINDS.join(", ")));
+    /// If a kind is not one of [`FAULT_KINDS`].
+    pub fn random(seed: u64, nodes: usize, seconds: f64, kinds: &[String]) -> Result<Schedule, String> {
+        if let Some(other) = kinds.iter().find(|kind| !FAULT_KINDS.contains(&kind.as_str())) {
+            return Err(format!("unknown kind of fault '{other}'; known kinds: {}", FAULT_KINDS.join(", ")));
         }
         let mut rng = SplitMix64(seed);
         let mut steps: Vec<Step> = Vec::new();
@@ -64,33 +64,33 @@
             let node_subset = rng.node_subset(nodes, nodes.div_ceil(4));
             let fault = match kind.as_str() {
                 "kill" | "term" => {
-                    let recovery = Fault::Start { nodes: Who::Only(node_subset.clone()) };
+                    let recovery = Fault::Start { nodes: NodeSet::Only(node_subset.clone()) };
                     steps.push(Step { at: at + duration.max(4.0), fault: recovery });
-                    let nodes = Who::Only(node_subset);
+                    let nodes = NodeSet::Only(node_subset);
                     if kind == "kill" { Fault::Kill { nodes } } else { Fault::Term { nodes } }
                 }
-                "stop" => Fault::Stop { nodes: Who::Only(node_subset), seconds: duration },
+                "stop" => Fault::Stop { nodes: NodeSet::Only(node_subset), seconds: duration },
                 "move" => Fault::Move { node: rng.below(nodes) },
                 "drain" => {
-                    let recovery = Fault::Drain { nodes: Who::Only(node_subset.clone()), on: false };
+                    let recovery = Fault::Drain { nodes: NodeSet::Only(node_subset.clone()), on: false };
                     steps.push(Step { at: at + duration, fault: recovery });
-                    Fault::Drain { nodes: Who::Only(node_subset), on: true }
+                    Fault::Drain { nodes: NodeSet::Only(node_subset), on: true }
                 }
                 "cut" => Fault::Link {
-                    from: Who::Only(node_subset.clone()),
-                    to: Who::But(node_subset),
+                    from: NodeSet::Only(node_subset.clone()),
+                    to: NodeSet::But(node_subset),
                     both: rng.below(3) > 0,
-                    how: Manner { cut: true, ..Manner::default() },
+                    how: LinkCondition { cut: true, ..LinkCondition::default() },
                     seconds: duration,
                 },
                 _ => {
-                    let how = Manner {
+                    let how = LinkCondition {
                         loss: rng.uniform(0.02, 0.25),
                         jitter_ms: rng.uniform(0.0, 100.0),
                         twice: 0.05,
-                        ..Manner::default()
+                        ..LinkCondition::default()
                     };
-                    Fault::Link { from: Who::All, to: Who::All, both: false, how, seconds: duration }
+                    Fault::Link { from: NodeSet::All, to: NodeSet::All, both: false, how, seconds: duration }
                 }
             };
             steps.push(Step { at, fault });
@@ -105,7 +105,7 @@
 
     /// Returns the schedule without the steps that the failure does not need. Steps are removed one by one,
     /// and each stays removed if the shorter schedule still `fails`.
-    pub fn shortened(self, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
+    pub fn minimized(self, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
         let mut shortest = self;
         let mut at = 0;
         while at < shortest.steps.len() {
--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for members, discovery and clients that listen and connect on loopback, for tests and
 //! measurements of the real program. Members and discovery run on one thread of their own and end when the
-//! [`Stage`] is dropped.
+//! [`StandInRuntime`] is dropped.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -18,25 +18,25 @@
 const MAX_LINE_BYTES: u64 = 16 * 1024;
 
 /// A single-threaded runtime for stand-ins, on a thread of its own. Dropping it kill_receiver the stand-ins.
-pub struct Stage {
+pub struct StandInRuntime {
     handle: Handle,
     end: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Stage {
+impl StandInRuntime {
     /// Starts the thread and its runtime.
     ///
     /// # Errors
     /// If the runtime or the thread can't be started.
-    pub fn new() -> io::Result<Stage> {
+    pub fn new() -> io::Result<StandInRuntime> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
         let (end, ended) = oneshot::channel();
         let thread = std::thread::Builder::new().name("stand-ins".into()).spawn(move || {
             let _ = runtime.block_on(ended);
         })?;
-        Ok(Stage { handle, end: Some(end), thread: Some(thread) })
+        Ok(StandInRuntime { handle, end: Some(end), thread: Some(thread) })
     }
 
     /// Returns the handle of the runtime, for other tasks that are to run on the thread.
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for StandInRuntime {
     fn drop(&mut self) {
         self.end.take();
         if let Some(thread) = self.thread.take() {
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// If the member can't listen.
-    pub fn start(stage: &Stage, receipt: u32) -> io::Result<Member> {
+    pub fn start(stage: &StandInRuntime, receipt: u32) -> io::Result<Member> {
         let (listener, address) = stage.listen()?;
         let state = Arc::new(MemberState::default());
         state.message_us.store(2_000, Relaxed);
@@ -206,7 +206,7 @@
 
 /// An entry of discovery's list: a member's address and health.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct DiscoveryEntry {
     /// Address at which the member listens.
     pub dial: String,
     /// `Ready`, `Terminating` or `Gone`.
@@ -217,16 +217,16 @@
 
 /// How discovery answers: at once by default, or late, slowly or not at all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Delivery {
+pub struct ResponseBehavior {
     /// Delay before an answer with changes begins, as reader an overloaded discovery service.
-    pub begins_after: Duration,
+    pub start_delay: Duration,
     /// Time over which an answer with changes is written in equal chunks, as reader a slow discovery service.
     pub over: Duration,
     /// Whether calls are accepted but not answered.
     pub silent: bool,
     /// Whether a call that names a version is answered with the changes since that version instead of the
     /// whole list.
-    pub changes: bool,
+    pub incremental: bool,
 }
 
 /// Number of chunks in which a slow answer is written.
@@ -236,7 +236,7 @@
 #[derive(Default)]
 struct Directory {
     /// Entries by the member's name, each with the version in which it last changed.
-    list: BTreeMap<String, (u64, Listed)>,
+    list: BTreeMap<String, (u64, DiscoveryEntry)>,
     /// The whole list as last serialized, and its version. It is cached because serializing thousands of
     /// entries takes long.
     whole: Option<(u64, Arc<str>)>,
@@ -249,7 +249,7 @@
     address: SocketAddr,
     directory: SharedDirectory,
     seq: watch::Sender<u64>,
-    delivery: Arc<Mutex<Delivery>>,
+    delivery: Arc<Mutex<ResponseBehavior>>,
     written: Arc<AtomicU64>,
 }
 
@@ -258,7 +258,7 @@
     ///
     /// # Errors
     /// If the service can't listen.
-    pub fn start(stage: &Stage) -> io::Result<Discovery> {
+    pub fn start(stage: &StandInRuntime) -> io::Result<Discovery> {
         let (listener, address) = stage.listen()?;
         let (seq, version_changes) = watch::channel(1);
         let (directory, delivery, written) = (SharedDirectory::default(), Arc::default(), Arc::default());
@@ -275,7 +275,7 @@
     }
 
     /// Sets how the service answers from now on.
-    pub fn deliver(&self, delivery: Delivery) {
+    pub fn set_response_behavior(&self, delivery: ResponseBehavior) {
         *self.delivery.lock().unwrap_or_else(PoisonError::into_inner) = delivery;
     }
 
@@ -291,11 +291,11 @@
 
     /// Adds a member to the list or changes its entry. Open watches are answered at once.
     pub fn set(&self, name: &str, dial: &str, health: &'static str) {
-        self.set_all(&[(name.to_owned(), Listed { dial: dial.to_owned(), health, born_ms: 0.0 })]);
+        self.set_all(&[(name.to_owned(), DiscoveryEntry { dial: dial.to_owned(), health, born_ms: 0.0 })]);
     }
 
     /// Adds many members to the list or changes their entries, all in one new version.
-    pub fn set_all(&self, members: &[(String, Listed)]) {
+    pub fn set_all(&self, members: &[(String, DiscoveryEntry)]) {
         let seq = *self.seq.borrow() + 1;
         let mut guard = self.directory.lock().unwrap_or_else(PoisonError::into_inner);
         for (name, listed) in members {
@@ -310,7 +310,7 @@
     stream: TcpStream,
     directory: SharedDirectory,
     mut version_changes: watch::Receiver<u64>,
-    delivery: Arc<Mutex<Delivery>>,
+    delivery: Arc<Mutex<ResponseBehavior>>,
     written: Arc<AtomicU64>,
 ) -> io::Result<()> {
     let (reader, mut writer) = stream.into_split();
@@ -340,9 +340,9 @@
         let seq = *version_changes.borrow();
         let has_news = since.is_none_or(|since| seq > since);
         if has_news {
-            tokio::time::sleep(behavior().begins_after).await;
+            tokio::time::sleep(behavior().start_delay).await;
         }
-        let changed_after = since.filter(|since| behavior().changes && *since > 1);
+        let changed_after = since.filter(|since| behavior().incremental && *since > 1);
         let body =
             directory.lock().unwrap_or_else(PoisonError::into_inner).body_text(seq, has_news, changed_after);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -389,14 +389,14 @@
     seq: u64,
     has_news: bool,
     changed_after: Option<u64>,
-    list: &BTreeMap<String, (u64, Listed)>,
+    list: &BTreeMap<String, (u64, DiscoveryEntry)>,
 ) -> Value {
-    let host = |(name, (_, listed)): (&String, &(u64, Listed))| {
+    let host = |(name, (_, listed)): (&String, &(u64, DiscoveryEntry))| {
         json!({"host": name, "dial": listed.dial, "site": "a", "block": 0, "health": listed.health,
             "share": 1.0, "born_ms": listed.born_ms})
     };
     // Members that are gone are left out of the whole list.
-    let is_included = |(_, (changed, listed)): &(&String, &(u64, Listed))| {
+    let is_included = |(_, (changed, listed)): &(&String, &(u64, DiscoveryEntry))| {
         has_news && changed_after.map_or(listed.health != "Gone", |version| *changed > version)
     };
     let hosts: Vec<Value> = list.iter().filter(is_included).map(host).collect();
--- a/crates/standin/src/truth.rs
+++ b/crates/standin/src/truth.rs
@@ -4,7 +4,7 @@
 
 /// The ground truth of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Truth {
+pub struct GroundTruth {
     /// When the run began, in Unix milliseconds.
     pub began: f64,
     /// Value of all seconds for which clients wanted a connection.
@@ -14,7 +14,7 @@
     /// Number of clients that wanted a connection.
     pub clients: u64,
     /// Changes that the script made.
-    pub changes: Vec<Change>,
+    pub changes: Vec<ConditionChange>,
     /// Number of rejects that clients received.
     pub rejected: u64,
     /// Number of transactions that failed.
@@ -25,13 +25,13 @@
 
 /// The begin or the end of a condition that the script causes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Change {
+pub struct ConditionChange {
     /// Time of the change, in milliseconds from the start.
     pub at_ms: f64,
     /// Member or node that is affected.
     pub subject: String,
     /// Condition that begins or ends.
-    pub what: Kind,
+    pub what: Condition,
     /// True if the condition begins, false if it ends.
     pub begins: bool,
 }
@@ -39,7 +39,7 @@
 /// Conditions of members and nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum Condition {
     /// The member answers nothing.
     Silent,
     /// The member is slow to handle messages.
@@ -58,7 +58,7 @@
     Deaf,
 }
 
-impl Truth {
+impl GroundTruth {
     /// Returns the share of the wanted value that was not served, from 0 to 1; 0 if no connection was wanted.
     pub fn share_lost(&self) -> f64 {
         if self.wanted > 0.0 { 1.0 - self.served / self.wanted } else { 0.0 }
