--- a/crates/standin/examples/recorder_cost.rs
+++ b/crates/standin/examples/recorder_cost.rs
@@ -227,9 +227,10 @@
     };
     let folder = std::env::temp_dir().join(format!("hopmoor-cost-{}", std::process::id()));
     std::fs::create_dir(&folder)?;
-    let stage = StandInRuntime::new()?;
-    let discovery = Discovery::start(&stage)?;
-    let members = (1..=10).map(|receipt| Member::start(&stage, receipt)).collect::<Result<Vec<_>, _>>()?;
+    let stand_ins = StandInRuntime::new()?;
+    let discovery = Discovery::start(&stand_ins)?;
+    let members =
+        (1..=10).map(|receipt| Member::start(&stand_ins, receipt)).collect::<Result<Vec<_>, _>>()?;
     for (at, member) in members.iter().enumerate() {
         discovery.set(&format!("s-{at}"), &member.address(), "Ready");
     }
--- a/crates/standin/examples/scale.rs
+++ b/crates/standin/examples/scale.rs
@@ -208,7 +208,7 @@
 }
 
 struct SimulatedDay {
-    stage: StandInRuntime,
+    stand_ins: StandInRuntime,
     hosts: Vec<Member>,
     discovery: Discovery,
     rng: StdRng,
@@ -227,17 +227,18 @@
 
 impl SimulatedDay {
     fn new(hosts: usize, seed: u64) -> Result<SimulatedDay, BoxError> {
-        let stage = StandInRuntime::new()?;
-        let discovery = Discovery::start(&stage)?;
-        let hosts =
-            (0..hosts).map(|index| Member::start(&stage, index as u32 + 1)).collect::<Result<Vec<_>, _>>()?;
+        let stand_ins = StandInRuntime::new()?;
+        let discovery = Discovery::start(&stand_ins)?;
+        let hosts = (0..hosts)
+            .map(|index| Member::start(&stand_ins, index as u32 + 1))
+            .collect::<Result<Vec<_>, _>>()?;
         let listed = |(index, host): (usize, &Member)| {
             (host_name(index), DiscoveryEntry { dial: host.address(), health: "Ready", born_ms: 0.0 })
         };
         discovery.set_all(&hosts.iter().enumerate().map(listed).collect::<Vec<_>>());
         let folder = tempfile::tempdir()?;
         let rng = StdRng::seed_from_u64(seed);
-        Ok(SimulatedDay { stage, hosts, discovery, rng, totals: Arc::default(), folder })
+        Ok(SimulatedDay { stand_ins, hosts, discovery, rng, totals: Arc::default(), folder })
     }
 
     /// Writes a configuration as the platform gives it, with a list that names every other host.
@@ -293,7 +294,7 @@
                 index % 10,
                 host_name(host)
             );
-            self.stage.handle().spawn(async move {
+            self.stand_ins.handle().spawn(async move {
                 let expected = format!("UP {}", host + 1);
                 let answer = set_up_and_talk(&address, &line, lifetime, Duration::from_secs(20)).await;
                 if answer != expected
@@ -313,7 +314,7 @@
             self.rng.random_range(0..50)
         );
         let (address, totals) = (address.to_owned(), self.totals.clone());
-        self.stage.handle().spawn(async move {
+        self.stand_ins.handle().spawn(async move {
             totals.attempted.fetch_add(1, Relaxed);
             let answer = set_up_and_talk(&address, &line, CONNECTION_LIFETIME, SETUP_DEADLINE).await;
             totals.served.fetch_add(u64::from(answer.starts_with("UP ")), Relaxed);
@@ -357,14 +358,14 @@
             let run_time = started.elapsed();
             // The complete list has been delivered within 6 s; from then on, changes are delivered without
             // delay.
-            let delivery = if run_time < Duration::from_secs(6) {
+            let behavior = if run_time < Duration::from_secs(6) {
                 slow_discovery
             } else {
                 ResponseBehavior { incremental: true, ..ResponseBehavior::default() }
             };
             self.discovery.set_response_behavior(ResponseBehavior {
                 silent: DISCOVERY_OUTAGE.contains(&run_time),
-                ..delivery
+                ..behavior
             });
             while (arrivals as f64) < run_time.as_secs_f64() * ARRIVALS_PER_SECOND {
                 arrivals += 1;
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -110,7 +110,6 @@
         on: bool,
     },
     /// Resumes each node that is draining. A node that still waits for its drain permit goes on waiting.
-    #[serde(rename = "back")]
     Back,
     /// Rotates the fleet's key: all nodes get the new key, then all seal with it, then the old key is
     /// removed.
@@ -143,7 +142,6 @@
     /// The listed nodes.
     Only(Vec<usize>),
     /// All nodes except the listed ones.
-    #[serde(rename = "but")]
     But(Vec<usize>),
     /// The nodes in a zone.
     Zone(usize),
--- a/crates/standin/src/random.rs
+++ b/crates/standin/src/random.rs
@@ -1,4 +1,4 @@
-//! Generates random schedules of faults from a seed, and shortens a schedule that makes a check fail.
+//! Generates random schedules of faults from a seed, and minimizes a schedule that makes a check fail.
 
 use crate::faults::{Fault, LinkCondition, NodeSet, Schedule, Step};
 
--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -17,7 +17,7 @@
 /// Largest line of the line protocol that is read whole; a longer one is read in parts.
 const MAX_LINE_BYTES: u64 = 16 * 1024;
 
-/// A single-threaded runtime for stand-ins, on a thread of its own. Dropping it kill_receiver the stand-ins.
+/// A single-threaded runtime for stand-ins, on a thread of its own. Dropping it ends the stand-ins.
 pub struct StandInRuntime {
     handle: Handle,
     end: Option<oneshot::Sender<()>>,
@@ -88,13 +88,13 @@
     ///
     /// # Errors
     /// If the member can't listen.
-    pub fn start(stage: &StandInRuntime, receipt: u32) -> io::Result<Member> {
-        let (listener, address) = stage.listen()?;
+    pub fn start(stand_ins: &StandInRuntime, receipt: u32) -> io::Result<Member> {
+        let (listener, address) = stand_ins.listen()?;
         let state = Arc::new(MemberState::default());
         state.message_us.store(2_000, Relaxed);
         let (killed, kill_signal) = watch::channel(false);
         let shared_state = state.clone();
-        stage.handle.spawn(async move {
+        stand_ins.handle.spawn(async move {
             loop {
                 let mut kill_receiver = kill_signal.clone();
                 let (stream, _) = tokio::select! {
@@ -218,9 +218,9 @@
 /// How discovery answers: at once by default, or late, slowly or not at all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseBehavior {
-    /// Delay before an answer with changes begins, as reader an overloaded discovery service.
+    /// Delay before an answer with changes begins, as from an overloaded discovery service.
     pub start_delay: Duration,
-    /// Time over which an answer with changes is written in equal chunks, as reader a slow discovery service.
+    /// Time over which an answer with changes is written in equal chunks, as from a slow discovery service.
     pub over: Duration,
     /// Whether calls are accepted but not answered.
     pub silent: bool,
@@ -249,7 +249,7 @@
     address: SocketAddr,
     directory: SharedDirectory,
     seq: watch::Sender<u64>,
-    delivery: Arc<Mutex<ResponseBehavior>>,
+    response_behavior: Arc<Mutex<ResponseBehavior>>,
     written: Arc<AtomicU64>,
 }
 
@@ -258,25 +258,33 @@
     ///
     /// # Errors
     /// If the service can't listen.
-    pub fn start(stage: &StandInRuntime) -> io::Result<Discovery> {
-        let (listener, address) = stage.listen()?;
+    pub fn start(stand_ins: &StandInRuntime) -> io::Result<Discovery> {
+        let (listener, address) = stand_ins.listen()?;
         let (seq, version_changes) = watch::channel(1);
-        let (directory, delivery, written) = (SharedDirectory::default(), Arc::default(), Arc::default());
-        let discovery = Discovery { address, directory, seq, delivery, written };
-        let (directory, delivery, written) =
-            (discovery.directory.clone(), discovery.delivery.clone(), discovery.written.clone());
-        stage.handle.spawn(async move {
+        let (directory, response_behavior, written) =
+            (SharedDirectory::default(), Arc::default(), Arc::default());
+        let discovery = Discovery { address, directory, seq, response_behavior, written };
+        let (directory, response_behavior, written) =
+            (discovery.directory.clone(), discovery.response_behavior.clone(), discovery.written.clone());
+        stand_ins.handle.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (directory, delivery, written) = (directory.clone(), delivery.clone(), written.clone());
-                tokio::spawn(serve_discovery(stream, directory, version_changes.clone(), delivery, written));
+                let (directory, response_behavior, written) =
+                    (directory.clone(), response_behavior.clone(), written.clone());
+                tokio::spawn(serve_discovery(
+                    stream,
+                    directory,
+                    version_changes.clone(),
+                    response_behavior,
+                    written,
+                ));
             }
         });
         Ok(discovery)
     }
 
     /// Sets how the service answers from now on.
-    pub fn set_response_behavior(&self, delivery: ResponseBehavior) {
-        *self.delivery.lock().unwrap_or_else(PoisonError::into_inner) = delivery;
+    pub fn set_response_behavior(&self, response_behavior: ResponseBehavior) {
+        *self.response_behavior.lock().unwrap_or_else(PoisonError::into_inner) = response_behavior;
     }
 
     /// Returns the number of bytes of all answers so far.
@@ -310,7 +318,7 @@
     stream: TcpStream,
     directory: SharedDirectory,
     mut version_changes: watch::Receiver<u64>,
-    delivery: Arc<Mutex<ResponseBehavior>>,
+    response_behavior: Arc<Mutex<ResponseBehavior>>,
     written: Arc<AtomicU64>,
 ) -> io::Result<()> {
     let (reader, mut writer) = stream.into_split();
@@ -333,7 +341,7 @@
             let newer_version = version_changes.wait_for(|seq| *seq > since);
             let _ = tokio::time::timeout(Duration::from_millis(wait_ms.min(60_000)), newer_version).await;
         }
-        let behavior = || *delivery.lock().unwrap_or_else(PoisonError::into_inner);
+        let behavior = || *response_behavior.lock().unwrap_or_else(PoisonError::into_inner);
         if behavior().silent {
             std::future::pending::<()>().await;
         }
