--- a/crates/ops/src/console/source.rs
+++ b/crates/ops/src/console/source.rs
@@ -159,7 +159,7 @@
                     Item::Segment(header) => {
                         *run = Some(header.started);
                         *last = header.base;
-                        Step::Run(header)
+                        Step::RunStarted(header)
                     }
                     Item::Record(record) => {
                         *last = record.at;
--- a/crates/ops/src/records.rs
+++ b/crates/ops/src/records.rs
@@ -230,7 +230,7 @@
         };
         for (origin, at, step) in merge_folders(&self.folders)? {
             match step {
-                Step::Run(header) => {
+                Step::RunStarted(header) => {
                     // A time without a date is on the day of the first record, so it is parsed when that is
                     // known.
                     for (text, bound) in [(bound_texts.0.take(), &mut from), (bound_texts.1.take(), &mut to)]
