--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -1,5 +1,5 @@
-//! Peers that a test leads step by step: a discovery and members that hold back or give a byte, an end or a reset when the
-//! test says so.
+//! Peers that a test controls step by step: a discovery and members that send bytes, end a connection or reset
+//! it only when the test says so.
 #![allow(dead_code)]
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -8,15 +8,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing that a test waits for takes longer.
-const LONG: Duration = Duration::from_secs(15);
+/// Longest wait for anything that a test expects.
+const TIMEOUT: Duration = Duration::from_secs(15);
 
 /// One host as discovery lists it: name, address, health.
-pub type Host<'a> = (&'a str, &'a str, &'a str);
+pub type HostEntry<'a> = (&'a str, &'a str, &'a str);
 
-/// A list in discovery's form.
-pub fn list(seq: u64, whole: bool, hosts: &[Host]) -> String {
-    let host = |(name, dial, health): &Host| {
+/// Returns a host list in discovery's JSON format.
+pub fn list(seq: u64, whole: bool, hosts: &[HostEntry]) -> String {
+    let host = |(name, dial, health): &HostEntry| {
         format!(
             r#"{{"host":"{name}","dial":"{dial}","site":"a","class":"m","block":0,"health":"{health}","share":1.0,"born_ms":0}}"#
         )
@@ -26,102 +26,109 @@
 }
 
 /// A discovery that answers when the test says so.
-pub struct Desk {
+pub struct ScriptedDiscovery {
     listener: TcpListener,
     pub address: String,
-    open: Option<BufReader<TcpStream>>,
+    connection: Option<BufReader<TcpStream>>,
 }
 
-impl Desk {
-    pub fn new() -> Desk {
+impl ScriptedDiscovery {
+    pub fn new() -> ScriptedDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        Desk { listener, address, open: None }
+        ScriptedDiscovery { listener, address, connection: None }
     }
 
-    /// Waits for the next call, on the connection of the last one or on a new one, and returns its target.
-    pub fn call(&mut self) -> String {
-        let began = Instant::now();
+    /// Waits for the next request, on the connection of the last one or on a new one, and returns its target
+    /// (path and query).
+    pub fn next_request(&mut self) -> String {
+        let started = Instant::now();
         self.listener.set_nonblocking(true).unwrap();
         loop {
-            if let Some(open) = &mut self.open {
-                open.get_ref().set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-                let mut head = String::new();
-                match open.read_line(&mut head) {
-                    Ok(0) => self.open = None,
+            if let Some(connection) = &mut self.connection {
+                connection.get_ref().set_read_timeout(Some(Duration::from_millis(5))).unwrap();
+                let mut request_line = String::new();
+                match connection.read_line(&mut request_line) {
+                    Ok(0) => self.connection = None,
                     Ok(_) => {
-                        open.get_ref().set_read_timeout(Some(LONG)).unwrap();
+                        connection.get_ref().set_read_timeout(Some(TIMEOUT)).unwrap();
                         let mut line = String::new();
                         while line != "\r\n" {
                             line.clear();
-                            assert!(open.read_line(&mut line).unwrap() > 0, "half a call");
+                            assert!(
+                                connection.read_line(&mut line).unwrap() > 0,
+                                "the connection ended within the headers of a request"
+                            );
                         }
-                        return head.split(' ').nth(1).unwrap().to_owned();
+                        return request_line.split(' ').nth(1).unwrap().to_owned();
                     }
                     Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-                    Err(_) => self.open = None,
+                    Err(_) => self.connection = None,
                 }
             }
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).unwrap();
                     stream.set_nodelay(true).unwrap();
-                    self.open = Some(BufReader::new(stream));
+                    self.connection = Some(BufReader::new(stream));
                 }
-                Err(_) if self.open.is_none() => thread::sleep(Duration::from_millis(1)),
+                Err(_) if self.connection.is_none() => thread::sleep(Duration::from_millis(1)),
                 Err(_) => {}
             }
-            assert!(began.elapsed() < LONG, "no call came");
+            assert!(started.elapsed() < TIMEOUT, "no request within {TIMEOUT:?}");
         }
     }
 
-    /// Whether another connection waits beside the open one.
-    pub fn is_called(&self) -> bool {
+    /// Whether another connection waits to be accepted besides the current one. It is closed.
+    pub fn has_new_connection(&self) -> bool {
         self.listener.set_nonblocking(true).unwrap();
         self.listener.accept().is_ok()
     }
 
-    /// Writes bytes as they are.
+    /// Writes the bytes to the current connection without adding any HTTP framing.
     pub fn write(&mut self, bytes: &str) {
-        self.open.as_mut().unwrap().get_mut().write_all(bytes.as_bytes()).unwrap();
+        self.connection.as_mut().unwrap().get_mut().write_all(bytes.as_bytes()).unwrap();
     }
 
+    /// Answers the last request with status 200 and this body.
     pub fn answer(&mut self, body: &str) {
         self.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     }
 
+    /// Answers the last request with status 503.
     pub fn refuse(&mut self) {
         self.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
 
-    /// Ends the connection in good order, or with a reset.
+    /// Closes the connection without a reset.
     pub fn close(&mut self) {
-        self.open = None;
+        self.connection = None;
     }
 
-    /// The open connection, for somebody else to write on; the next call comes on another.
-    pub fn hold(&mut self) -> TcpStream {
-        self.open.take().unwrap().into_inner()
+    /// Hands over the current connection; the next request is expected on another one.
+    pub fn take_connection(&mut self) -> TcpStream {
+        self.connection.take().unwrap().into_inner()
     }
 
+    /// Closes the connection with a reset.
     pub fn reset(&mut self) {
-        reset(self.open.take().unwrap().into_inner());
+        reset(self.connection.take().unwrap().into_inner());
     }
 
-    /// Answers the first call of a node with these hosts, and takes the next.
-    pub fn begin(&mut self, hosts: &[Host]) {
-        self.call();
+    /// Answers a node's first request with these hosts and waits for the request that follows.
+    pub fn serve_first_list(&mut self, hosts: &[HostEntry]) {
+        self.next_request();
         self.answer(&list(1, true, hosts));
-        assert!(self.call().contains("since=1"), "the list was not taken");
+        assert!(self.next_request().contains("since=1"), "the node did not apply the first list");
     }
 }
 
-/// Breaks a connection.
+/// Closes a connection with a TCP reset.
 pub fn reset(stream: TcpStream) {
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// A member whose flows the test takes one by one.
+/// A member whose flows the test accepts one by one.
 pub struct Member {
     listener: TcpListener,
     pub address: String,
@@ -134,72 +141,72 @@
         Member { listener, address }
     }
 
-    /// Waits for the next connection.
-    pub fn flow(&self) -> BufReader<TcpStream> {
-        let began = Instant::now();
+    /// Waits for the next flow and accepts it.
+    pub fn next_flow(&self) -> BufReader<TcpStream> {
+        let started = Instant::now();
         loop {
-            if let Some(flow) = self.waiting() {
+            if let Some(flow) = self.accept_waiting() {
                 return flow;
             }
             thread::sleep(Duration::from_millis(1));
-            assert!(began.elapsed() < LONG, "no flow came");
+            assert!(started.elapsed() < TIMEOUT, "no flow within {TIMEOUT:?}");
         }
     }
 
-    /// A connection that waits to be taken.
-    pub fn waiting(&self) -> Option<BufReader<TcpStream>> {
+    /// Accepts a flow if one waits.
+    pub fn accept_waiting(&self) -> Option<BufReader<TcpStream>> {
         self.listener.set_nonblocking(true).unwrap();
         let (stream, _) = self.listener.accept().ok()?;
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Some(BufReader::new(stream))
     }
 }
 
-/// A member that serves all and keeps in mind when each request came.
-pub struct Diary {
+/// A member that serves every request and records when each arrived.
+pub struct RecordingMember {
     pub address: String,
-    seen: Arc<Mutex<VecDeque<(String, Instant)>>>,
+    requests: Arc<Mutex<VecDeque<(String, Instant)>>>,
 }
 
-impl Diary {
-    pub fn new() -> Diary {
+impl RecordingMember {
+    pub fn new() -> RecordingMember {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let seen: Arc<Mutex<VecDeque<(String, Instant)>>> = Arc::default();
-        let all = seen.clone();
+        let requests: Arc<Mutex<VecDeque<(String, Instant)>>> = Arc::default();
+        let shared = requests.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let seen = all.clone();
+                let requests = shared.clone();
                 thread::spawn(move || {
-                    let mut from = BufReader::new(stream);
+                    let mut reader = BufReader::new(stream);
                     let mut line = String::new();
-                    while matches!(from.read_line(&mut line), Ok(1..)) {
+                    while matches!(reader.read_line(&mut line), Ok(1..)) {
                         if let Some(id) = line.strip_prefix("OPEN ") {
                             let id = id.split(' ').next().unwrap_or("").to_owned();
-                            seen.lock().unwrap().push_back((id, Instant::now()));
-                            let _ = from.get_mut().write_all(b"UP 7\r\n");
+                            requests.lock().unwrap().push_back((id, Instant::now()));
+                            let _ = reader.get_mut().write_all(b"UP 7\r\n");
                         } else {
-                            let _ = from.get_mut().write_all(line.as_bytes());
+                            let _ = reader.get_mut().write_all(line.as_bytes());
                         }
                         line.clear();
                     }
                 });
             }
         });
-        Diary { address, seen }
+        RecordingMember { address, requests }
     }
 
-    /// The requests that came, and when.
-    pub fn seen(&self) -> Vec<(String, Instant)> {
-        self.seen.lock().unwrap().iter().cloned().collect()
+    /// Returns the id of each request that arrived, and when.
+    pub fn requests(&self) -> Vec<(String, Instant)> {
+        self.requests.lock().unwrap().iter().cloned().collect()
     }
 }
 
-/// All that comes until the end; empty if it broke.
-pub fn rest(stream: &mut BufReader<TcpStream>) -> String {
-    let mut rest = Vec::new();
-    let _ = stream.read_to_end(&mut rest);
-    String::from_utf8_lossy(&rest).into_owned()
+/// Reads until the connection ends or fails and returns what arrived.
+pub fn read_rest(stream: &mut BufReader<TcpStream>) -> String {
+    let mut bytes = Vec::new();
+    let _ = stream.read_to_end(&mut bytes);
+    String::from_utf8_lossy(&bytes).into_owned()
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,20 +1,21 @@
-//! The instants in which something is still owed, each forced by the order of events: peers hold back or give a byte, an end, a
-//! reset or a list when the test says so.
+//! Race conditions, each forced by the order of events: discovery and members send bytes, a list, an end or a
+//! reset of a connection only when the test says so.
 #[path = "common/node.rs"]
 mod process;
 #[path = "common/script.rs"]
 mod script;
 
 use process::*;
-use script::{Desk, Diary, Member, list};
+use script::{Member, RecordingMember, ScriptedDiscovery, list};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A client's first line, of request 1.
 const OPEN: &str = "OPEN 1 2 c=chat,t=acme,d=5000\r\n";
 
-/// A counter as the node prints it now.
+/// Has the node log its counters (SIGUSR1) and returns the value of one.
 fn counter(node: &Node, name: &str) -> u64 {
     node.signal("-USR1");
     let line = node.logs("when: asked");
@@ -22,37 +23,41 @@
     value.unwrap_or_else(|| panic!("no {name} in {line}")).parse().unwrap()
 }
 
-// ---- A client leaves ----
+// ---- A client disconnects ----
 
-/// Seen by reading: a client that had sent 4 KiB behind its first line was read no more, so that its end went unseen and its
-/// request was sent on seconds later.
+/// Guards against a fault found by reading the code: once a client had sent 4 KiB after its first line, the
+/// node stopped reading from it, missed its disconnect and sent its request to a member seconds later.
 #[test]
-fn a_client_that_sends_much_and_goes_is_never_sent_on() {
-    let (mut desk, member) = (Desk::new(), Diary::new());
-    let node = start_with(&desk.address);
-    desk.begin(&[("s-1", &member.address, "Terminating")]);
-    let mut gone = node.connect().into_inner();
-    gone.write_all(OPEN.as_bytes()).unwrap();
-    gone.write_all(&[b'x'; 16 * 1024]).unwrap();
-    drop(gone);
+fn the_request_of_a_disconnected_client_is_not_sent_even_if_the_client_sent_much_data() {
+    let (mut discovery, member) = (ScriptedDiscovery::new(), RecordingMember::new());
+    let node = start_with(&discovery.address);
+    discovery.serve_first_list(&[("s-1", &member.address, "Terminating")]);
+    let mut sender = node.connect().into_inner();
+    sender.write_all(OPEN.as_bytes()).unwrap();
+    sender.write_all(&[b'x'; 16 * 1024]).unwrap();
+    drop(sender);
     let mut quiet = node.connect().into_inner();
     quiet.write_all(OPEN.replace("OPEN 1", "OPEN 2").as_bytes()).unwrap();
     drop(quiet);
-    assert!(within(5.0, || counter(&node, "asks") == 2 && counter(&node, "left") == 2), "an end went unseen");
-    desk.answer(&list(2, false, &[("s-1", &member.address, "Ready")]));
+    assert!(
+        within(5.0, || counter(&node, "asks") == 2 && counter(&node, "left") == 2),
+        "the node missed a client's disconnect"
+    );
+    discovery.answer(&list(2, false, &[("s-1", &member.address, "Ready")]));
     assert_eq!(talk(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 3")), "UP 7\r\n");
     assert!(within(6.0, || counter(&node, "held") == 0));
-    let sent: Vec<_> = member.seen().into_iter().map(|(id, _)| id).collect();
+    let sent: Vec<_> = member.requests().into_iter().map(|(id, _)| id).collect();
     assert_eq!(sent, ["3"]);
 }
 
-/// Three hundred clients wait for a member; two in three go at drawn moments, some in the very turn in which the member comes,
-/// while the node is stopped and let on in turns, as one with a small part of a core is.
+/// Three hundred clients wait for a member, and up to two thirds disconnect at random moments, some in the very
+/// round in which the member becomes ready. Meanwhile the node is stopped and continued in turns, like a
+/// process that gets a small share of a core.
 #[test]
-fn nothing_is_sent_on_for_clients_that_have_gone_by_a_node_that_is_short_of_time() {
-    let (mut desk, member) = (Desk::new(), Diary::new());
-    let node = launch(&config(&desk.address).replace(r#""sockets":256"#, r#""sockets":1024"#), |_| ());
-    desk.begin(&[("s-1", &member.address, "Terminating")]);
+fn a_node_short_of_cpu_sends_no_requests_of_disconnected_clients() {
+    let (mut discovery, member) = (ScriptedDiscovery::new(), RecordingMember::new());
+    let node = launch(&config(&discovery.address).replace(r#""sockets":256"#, r#""sockets":1024"#), |_| ());
+    discovery.serve_first_list(&[("s-1", &member.address, "Terminating")]);
     let mut clients: Vec<_> = (0..300)
         .map(|id| {
             let mut client = node.connect().into_inner();
@@ -61,226 +66,255 @@
         })
         .collect();
     assert!(within(10.0, || counter(&node, "held") == 300));
-    let mut gone = vec![None; 300];
-    let mut drawn = 7u64;
-    for turn in 0..20 {
+    let mut disconnected_at = vec![None; 300];
+    let mut random = 7u64;
+    for round in 0..20 {
         node.signal("-STOP");
         for _ in 0..10 {
-            drawn = drawn.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            let id = (drawn >> 33) as usize % 300;
+            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            let id = (random >> 33) as usize % 300;
             if let Some(client) = clients[id].take() {
                 drop(client);
-                gone[id] = Some(Instant::now());
+                disconnected_at[id] = Some(Instant::now());
             }
         }
-        if turn == 10 {
-            desk.answer(&list(2, false, &[("s-1", &member.address, "Ready")]));
+        if round == 10 {
+            discovery.answer(&list(2, false, &[("s-1", &member.address, "Ready")]));
         }
         thread::yield_now();
         node.signal("-CONT");
-        // Until it has run again.
+        // Waits until the node has run again.
         counter(&node, "held");
     }
-    let stay = clients.iter().filter(|client| client.is_some()).count();
-    assert!(within(10.0, || counter(&node, "served") >= stay as u64));
-    let late = member.seen().into_iter().filter_map(|(id, at)| {
-        let gone = gone[id.parse::<usize>().unwrap()]?;
-        at.checked_duration_since(gone)
+    let remaining = clients.iter().filter(|client| client.is_some()).count();
+    assert!(within(10.0, || counter(&node, "served") >= remaining as u64));
+    let delays = member.requests().into_iter().filter_map(|(id, at)| {
+        let disconnected_at = disconnected_at[id.parse::<usize>().unwrap()]?;
+        at.checked_duration_since(disconnected_at)
     });
-    let late: Vec<_> = late.collect();
-    let most = late.iter().max().copied().unwrap_or_default();
+    let delays: Vec<_> = delays.collect();
+    let longest = delays.iter().max().copied().unwrap_or_default();
     println!(
-        "{} of {} attempts came after their client had gone, the latest {most:?} after",
-        late.len(),
-        member.seen().len()
+        "{} of {} attempts arrived after their client had disconnected, at most {longest:?} after",
+        delays.len(),
+        member.requests().len()
     );
-    assert!(most < Duration::from_millis(100), "{late:?}");
+    assert!(longest < Duration::from_millis(100), "{delays:?}");
 }
 
-// ---- A time-out, a drain ----
+// ---- A member times out or drains ----
 
-/// A request of a class that may not be repeated, in the hands of one of two members, which answers nothing.
-struct Taken {
+/// A request of a class that may not be repeated. One of two members has received it and doesn't answer.
+struct PendingRequest {
     node: Node,
-    desk: Desk,
+    discovery: ScriptedDiscovery,
     members: [Member; 2],
     client: BufReader<TcpStream>,
-    by: usize,
+    /// Index of the member that has the request.
+    holder: usize,
     _flow: BufReader<TcpStream>,
 }
 
-fn taken() -> Taken {
-    let (mut desk, members) = (Desk::new(), [Member::new(), Member::new()]);
-    let node =
-        launch(&config(&desk.address).replace(r#""effect":"free""#, r#""effect":"single_shot""#), |_| ());
-    desk.begin(&[("s-0", &members[0].address, "Ready"), ("s-1", &members[1].address, "Ready")]);
+fn pending_request() -> PendingRequest {
+    let (mut discovery, members) = (ScriptedDiscovery::new(), [Member::new(), Member::new()]);
+    let node = launch(
+        &config(&discovery.address).replace(r#""effect":"free""#, r#""effect":"single_shot""#),
+        |_| (),
+    );
+    discovery
+        .serve_first_list(&[("s-0", &members[0].address, "Ready"), ("s-1", &members[1].address, "Ready")]);
     let mut client = node.connect();
     client.get_mut().write_all(OPEN.replace("d=5000", "d=2000").as_bytes()).unwrap();
     let mut first = None;
     assert!(within(5.0, || {
-        first = (0..2).find_map(|at| Some((at, members[at].waiting()?)));
+        first = (0..2).find_map(|index| Some((index, members[index].accept_waiting()?)));
         first.is_some()
     }));
-    let (by, mut flow) = first.unwrap();
+    let (holder, mut flow) = first.unwrap();
     let mut line = String::new();
     flow.read_line(&mut line).unwrap();
     assert!(line.starts_with("OPEN 1 "), "{line}");
-    Taken { node, desk, members, client, by, _flow: flow }
+    PendingRequest { node, discovery, members, client, holder, _flow: flow }
 }
 
-impl Taken {
-    /// It has failed, and nobody else was sent it.
-    fn fails(mut self) {
+impl PendingRequest {
+    /// Asserts that the client gets `ERR` and that the other member was not sent the request.
+    fn assert_fails_without_repeat(mut self) {
         let mut answer = String::new();
         self.client.read_line(&mut answer).unwrap();
         assert!(answer.starts_with("ERR"), "{answer}");
-        assert!(self.members[1 - self.by].waiting().is_none(), "it went to the other as well");
+        assert!(
+            self.members[1 - self.holder].accept_waiting().is_none(),
+            "the request went to the other member as well"
+        );
         assert_eq!(counter(&self.node, "flows"), 1);
     }
 }
 
-/// Guards against a node that hears of what it has written only with the next byte: a member that takes a request and
-/// answers nothing passed for one that could not be reached, and the request ran twice.
+/// Guards against a node that learned only with the member's next byte that its own bytes had been written. It
+/// took a member that had received a request and didn't answer for an unreachable one, and the request ran
+/// twice.
 #[test]
-fn what_a_silent_member_has_taken_is_not_sent_on_to_another() {
-    taken().fails();
+fn a_request_that_a_silent_member_has_received_is_not_sent_to_another() {
+    pending_request().assert_fails_without_repeat();
 }
 
-/// The same where the member is told to drain with the request in its hands: that flow goes on.
+/// The same if the member starts to drain while it has the request: the flow to it goes on.
 #[test]
-fn what_a_draining_member_has_taken_is_not_sent_on_to_another() {
-    let mut taken = taken();
-    let name = format!("s-{}", taken.by);
-    taken.desk.answer(&list(2, false, &[(&name, &taken.members[taken.by].address, "Terminating")]));
-    assert!(taken.desk.call().contains("since=2"));
-    taken.fails();
+fn a_request_that_a_draining_member_has_received_is_not_sent_to_another() {
+    let mut pending = pending_request();
+    let name = format!("s-{}", pending.holder);
+    pending.discovery.answer(&list(
+        2,
+        false,
+        &[(&name, &pending.members[pending.holder].address, "Terminating")],
+    ));
+    assert!(pending.discovery.next_request().contains("since=2"));
+    pending.assert_fails_without_repeat();
 }
 
-// ---- A watch dies ----
+// ---- A discovery watch breaks ----
 
-/// The node calls anew; says how long after. The last good list stands, and the change that was missed is heard.
-fn calls_anew(desk: &mut Desk, node: &Node, since: &str, least: u64) -> Duration {
-    let began = Instant::now();
-    let target = desk.call();
-    let took = began.elapsed();
+/// Waits for the node's next call to discovery and returns how long that took. Asserts that the call continues
+/// from `since`, that the node has counted at least `min_failures` failures and that it still serves clients by
+/// its last good list.
+fn expect_new_call(
+    discovery: &mut ScriptedDiscovery,
+    node: &Node,
+    since: &str,
+    min_failures: u64,
+) -> Duration {
+    let started = Instant::now();
+    let target = discovery.next_request();
+    let took = started.elapsed();
     assert!(target.contains(since), "{target}");
-    assert!(counter(node, "discovery_failures") >= least);
+    assert!(counter(node, "discovery_failures") >= min_failures);
     assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
     took
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_its_changes_count_as_told() {
-    let (mut desk, member, other) = (Desk::new(), Diary::new(), Diary::new());
-    let node = start_with(&desk.address);
-    desk.begin(&[("s-1", &member.address, "Ready")]);
-    // The call that waits is never answered: what it misses counts as told 6 s after.
-    let took = calls_anew(&mut desk, &node, "since=1", 1);
+fn a_silent_watch_is_reopened_before_changes_that_it_missed_count_as_told() {
+    let (mut discovery, member, other) =
+        (ScriptedDiscovery::new(), RecordingMember::new(), RecordingMember::new());
+    let node = start_with(&discovery.address);
+    discovery.serve_first_list(&[("s-1", &member.address, "Ready")]);
+    // The waiting call is never answered. A change that it misses counts as told 6 s later.
+    let took = expect_new_call(&mut discovery, &node, "since=1", 1);
     assert!(took < Duration::from_millis(5_500), "{took:?}");
     let hosts = [("s-1", &*member.address, "Terminating"), ("s-2", &*other.address, "Ready")];
-    desk.answer(&list(2, false, &hosts));
-    assert!(desk.call().contains("since=2"));
+    discovery.answer(&list(2, false, &hosts));
+    assert!(discovery.next_request().contains("since=2"));
     assert_eq!(talk(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 2")), "UP 7\r\n");
-    assert_eq!(other.seen().len(), 1, "the new list holds");
+    assert_eq!(other.requests().len(), 1, "the new list applies");
 }
 
 #[test]
-fn a_watch_that_breaks_is_opened_anew_at_once_and_the_last_good_list_stands() {
-    let (mut desk, member) = (Desk::new(), Diary::new());
-    let node = start_with(&desk.address);
-    desk.begin(&[("s-1", &member.address, "Ready")]);
-    let cut = list(2, true, &[("s-1", &member.address, "Terminating")]);
-    type Spoil<'a> = &'a dyn Fn(&mut Desk);
-    let spoilt: [(&str, Spoil); 6] = [
-        ("a reset", &|desk| desk.reset()),
-        ("an end", &|desk| desk.close()),
-        ("a refusal", &|desk| desk.refuse()),
-        ("a list cut in the middle", &|desk| {
-            desk.write(&format!(
+fn a_broken_watch_is_reopened_at_once_and_the_last_good_list_stays_in_use() {
+    let (mut discovery, member) = (ScriptedDiscovery::new(), RecordingMember::new());
+    let node = start_with(&discovery.address);
+    discovery.serve_first_list(&[("s-1", &member.address, "Ready")]);
+    let newer_list = list(2, true, &[("s-1", &member.address, "Terminating")]);
+    type Fault<'a> = &'a dyn Fn(&mut ScriptedDiscovery);
+    let faults: [(&str, Fault); 6] = [
+        ("a reset", &|discovery| discovery.reset()),
+        ("a close", &|discovery| discovery.close()),
+        ("a refusal", &|discovery| discovery.refuse()),
+        ("a list cut in the middle", &|discovery| {
+            discovery.write(&format!(
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}",
-                cut.len(),
-                &cut[..cut.len() / 2]
+                newer_list.len(),
+                &newer_list[..newer_list.len() / 2]
             ));
-            desk.close();
+            discovery.close();
+        }),
+        ("half a list as a complete answer", &|discovery| {
+            discovery.answer(&newer_list[..newer_list.len() / 2])
         }),
-        ("half a list as a whole answer", &|desk| desk.answer(&cut[..cut.len() / 2])),
-        ("a list of nobody", &|desk| desk.answer(&list(2, true, &[]))),
+        ("an empty list", &|discovery| discovery.answer(&list(2, true, &[]))),
     ];
     let mut failures = 0;
-    for (what, spoil) in spoilt {
-        spoil(&mut desk);
+    for (name, inject) in faults {
+        inject(&mut discovery);
         failures += 1;
-        let took = calls_anew(&mut desk, &node, "since=1", failures);
-        assert!(took < Duration::from_millis(500), "{what}: {took:?}");
-        // The call that begins a watch is answered at once; only then it stands.
-        desk.answer(&list(1, false, &[]));
-        assert!(desk.call().contains("since=1"), "{what}");
+        let took = expect_new_call(&mut discovery, &node, "since=1", failures);
+        assert!(took < Duration::from_millis(500), "{name}: {took:?}");
+        // The first call of a watch is answered at once; the watch is established only then.
+        discovery.answer(&list(1, false, &[]));
+        assert!(discovery.next_request().contains("since=1"), "{name}");
     }
 }
 
 #[test]
-fn an_older_list_brings_nobody_back_and_the_whole_one_is_asked_for() {
-    let (mut desk, member, other) = (Desk::new(), Diary::new(), Diary::new());
-    let node = start_with(&desk.address);
-    desk.call();
-    desk.answer(&list(7, true, &[("s-1", &member.address, "Terminating"), ("s-2", &other.address, "Ready")]));
-    desk.call();
+fn an_older_list_is_rejected_and_the_whole_list_is_requested() {
+    let (mut discovery, member, other) =
+        (ScriptedDiscovery::new(), RecordingMember::new(), RecordingMember::new());
+    let node = start_with(&discovery.address);
+    discovery.next_request();
+    discovery.answer(&list(
+        7,
+        true,
+        &[("s-1", &member.address, "Terminating"), ("s-2", &other.address, "Ready")],
+    ));
+    discovery.next_request();
     let older = list(6, true, &[("s-1", &member.address, "Ready")]);
-    desk.answer(&older);
-    let target = desk.call();
+    discovery.answer(&older);
+    let target = discovery.next_request();
     assert!(!target.contains("since"), "{target}");
     assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
-    assert_eq!((member.seen().len(), other.seen().len()), (0, 1));
+    assert_eq!((member.requests().len(), other.requests().len()), (0, 1));
     assert!(node.logs("version 6 is older than 7").contains("discovery failed"));
-    // It says so twice more: discovery counts anew.
-    desk.answer(&older);
-    desk.call();
-    desk.answer(&older);
-    assert!(desk.call().contains("since=6"));
+    // Given three times in a row, the older version is accepted: discovery has restarted its count.
+    discovery.answer(&older);
+    discovery.next_request();
+    discovery.answer(&older);
+    assert!(discovery.next_request().contains("since=6"));
 }
 
-/// An answer that never ends, byte by byte, is no watch.
+/// An answer that arrives byte by byte and never ends doesn't count as a working watch.
 #[test]
-fn a_list_that_never_ends_is_given_up() {
-    let (mut desk, member) = (Desk::new(), Diary::new());
-    let node = start_with(&desk.address);
-    desk.begin(&[("s-1", &member.address, "Ready")]);
-    desk.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{\"seq\":2,");
-    let mut trickle = desk.hold();
+fn a_list_that_never_ends_is_abandoned() {
+    let (mut discovery, member) = (ScriptedDiscovery::new(), RecordingMember::new());
+    let node = start_with(&discovery.address);
+    discovery.serve_first_list(&[("s-1", &member.address, "Ready")]);
+    discovery.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{\"seq\":2,");
+    let mut trickle = discovery.take_connection();
     let writer = thread::spawn(move || {
         while trickle.write_all(b" ").is_ok() {
             thread::sleep(Duration::from_millis(50));
         }
     });
-    let took = calls_anew(&mut desk, &node, "since=1", 1);
+    let took = expect_new_call(&mut discovery, &node, "since=1", 1);
     assert!(took < Duration::from_millis(5_500), "{took:?}");
     writer.join().unwrap();
 }
 
 #[test]
-fn indented_lists_are_lists() {
-    let (mut desk, member) = (Desk::new(), Diary::new());
-    let node = start_with(&desk.address);
-    desk.call();
+fn a_list_with_whitespace_between_its_tokens_is_accepted() {
+    let (mut discovery, member) = (ScriptedDiscovery::new(), RecordingMember::new());
+    let node = start_with(&discovery.address);
+    discovery.next_request();
     let body =
         list(3, true, &[("s-1", &member.address, "Ready")]).replace(',', " ,\r\n\t ").replace('{', "{\n  ");
-    desk.answer(&body);
-    assert!(desk.call().contains("since=3"));
+    discovery.answer(&body);
+    assert!(discovery.next_request().contains("since=3"));
     assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
 }
 
-/// After SIGHUP the new address keeps the first call in line for 1.8 s, among those of all other nodes. Guards against a node
-/// that gives it up before its turn and calls again, for nobody, again and again: members drained meanwhile unheard.
+/// After SIGHUP the discovery at the new address keeps the node's first call queued for 1.8 s, behind those of
+/// all other nodes. Guards against a node that gave up before its turn and called again, over and over, so that
+/// it learned of no member that started to drain meanwhile.
 #[test]
-fn the_first_call_at_a_new_address_is_waited_for_in_line() {
-    let (mut desk, mut other, member) = (Desk::new(), Desk::new(), Diary::new());
-    let node = start_with(&desk.address);
-    desk.begin(&[("s-1", "127.0.0.1:9", "Ready")]);
-    std::fs::write(&node.file, config(&other.address)).unwrap();
+fn the_first_call_to_a_new_discovery_address_waits_in_the_queue() {
+    let (mut discovery, mut new_discovery, member) =
+        (ScriptedDiscovery::new(), ScriptedDiscovery::new(), RecordingMember::new());
+    let node = start_with(&discovery.address);
+    discovery.serve_first_list(&[("s-1", "127.0.0.1:9", "Ready")]);
+    std::fs::write(&node.file, config(&new_discovery.address)).unwrap();
     node.signal("-HUP");
-    assert!(!other.call().contains("since"));
-    assert!(!within(1.8, || other.is_called()), "it called once more");
-    other.answer(&list(5, true, &[("s-1", &member.address, "Ready")]));
-    assert!(other.call().contains("since=5"));
+    assert!(!new_discovery.next_request().contains("since"));
+    assert!(!within(1.8, || new_discovery.has_new_connection()), "the node opened a second connection");
+    new_discovery.answer(&list(5, true, &[("s-1", &member.address, "Ready")]));
+    assert!(new_discovery.next_request().contains("since=5"));
     assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -16,10 +16,10 @@
 /// go at once, the eleventh waits and leaves as soon as one ends.
 #[test]
 fn limit_is_budget_over_minimum_rate_and_the_rest_queues() {
-    let mut relay = Relay::with(quota(&[5.0]), [backend(1), backend(2)]);
-    let places: Vec<BackendId> = (0..10).map(|id| relay.open(request(id))).collect();
-    assert!(relay.ask(request(10)).is_empty());
-    let released = relay.end(0, places[0], Outcome::Ok, true);
+    let mut node = Relay::with_backends(quota(&[5.0]), [backend(1), backend(2)]);
+    let places: Vec<BackendId> = (0..10).map(|id| node.open(request(id))).collect();
+    assert!(node.ask(request(10)).is_empty());
+    let released = node.end(0, places[0], Outcome::Ok, true);
     assert!(matches!(released[..], [Action::Attempt { id: RequestId(10), .. }]));
 }
 
@@ -28,22 +28,22 @@
 #[test]
 fn hints_count_against_the_usual_one_whatever_their_unit() {
     for unit in [0.001, 1.0, 2.0, 40_000.0] {
-        let mut relay = Relay::with(quota(&[5.0]), [backend(1)]);
+        let mut node = Relay::with_backends(quota(&[5.0]), [backend(1)]);
         for id in 0..10 {
-            relay.open(Request { load_hint: Some(unit), ..request(id) });
+            node.open(Request { load_hint: Some(unit), ..request(id) });
         }
-        assert!(relay.ask(Request { load_hint: Some(unit), ..request(10) }).is_empty(), "{unit}");
+        assert!(node.ask(Request { load_hint: Some(unit), ..request(10) }).is_empty(), "{unit}");
     }
 }
 
 /// With load hints the limit counts connections of the smallest hint seen: usual ones of 4 and one of 1 leave room in number.
 #[test]
 fn limit_follows_the_smallest_hint() {
-    let mut relay = Relay::with(quota(&[5.0]), [backend(1)]);
+    let mut node = Relay::with_backends(quota(&[5.0]), [backend(1)]);
     let hints = [4.0, 4.0, 4.0, 1.0];
     let open = (0..40).filter(|id| {
         let load_hint = Some(hints[*id as usize % 4]);
-        sent_to(&relay.ask(Request { load_hint, ..request(*id) })).is_some()
+        sent_to(&node.ask(Request { load_hint, ..request(*id) })).is_some()
     });
     // Each counts by the mean of those until then; the last goes while the load is not yet over the budget of 10.
     let (mut sum, mut load, mut under) = (0.0, 0.0, 0);
@@ -54,9 +54,9 @@
         load += hint / (sum / under as f64);
     }
     assert_eq!(open.count(), under);
-    relay.run(450.0);
+    node.run(450.0);
     // They are over the budget by less than one load and under the limit in number: the next are paced, not held for good.
-    assert!(relay.out.len() > under, "{}", relay.out.len());
+    assert!(node.in_flight.len() > under, "{}", node.in_flight.len());
 }
 
 /// Over its budget a tenant's queue is paced: the wait grows with the hint. A tenant with one small and large
@@ -64,16 +64,16 @@
 #[test]
 fn queued_connections_wait_in_proportion_to_their_hint() {
     let wait = |hint: f64| {
-        let mut relay = Relay::with(quota(&[1.0]), [backend(1)]);
+        let mut node = Relay::with_backends(quota(&[1.0]), [backend(1)]);
         for (id, hint) in [12.0, 1.0, 12.0].into_iter().enumerate() {
-            relay.open(Request { load_hint: Some(hint), ..request(id as u64) });
+            node.open(Request { load_hint: Some(hint), ..request(id as u64) });
         }
-        let start = relay.now;
-        assert!(relay.ask(Request { load_hint: Some(hint), ..request(3) }).is_empty());
-        while !relay.out.contains_key(&RequestId(3)) && relay.now < start + 450.0 {
-            relay.run(relay.now + 5.0);
+        let start = node.now;
+        assert!(node.ask(Request { load_hint: Some(hint), ..request(3) }).is_empty());
+        while !node.in_flight.contains_key(&RequestId(3)) && node.now < start + 450.0 {
+            node.run(node.now + 5.0);
         }
-        relay.now - start
+        node.now - start
     };
     // In usual hints at their time, 12, 6.5 and 8.3: S = 1 + 0.15 + 1.44, B = 2, so that a(S-B) is 200 ms x 0.297 = 59 ms for
     // one load; 8.33 is one, 16.67 is 1.6.
@@ -84,25 +84,26 @@
 /// Guarantees first: a greedy tenant leaves another its equal part of the capacity.
 #[test]
 fn a_greedy_tenant_leaves_others_their_guarantee() {
-    let mut relay = Relay::with(quota(&[5.0, 5.0]), [backend(1)]); // capacity 20
+    let mut node = Relay::with_backends(quota(&[5.0, 5.0]), [backend(1)]); // capacity 20
     for id in 0..12 {
-        if sent_to(&relay.ask(of_tenant(id, 0))).is_some() {
-            relay.stand(id);
+        if sent_to(&node.ask(of_tenant(id, 0))).is_some() {
+            node.establish(id);
         }
-        if sent_to(&relay.ask(of_tenant(100 + id, 1))).is_some() {
-            relay.stand(100 + id);
+        if sent_to(&node.ask(of_tenant(100 + id, 1))).is_some() {
+            node.establish(100 + id);
         }
     }
     // Two more intervals of pressure from tenant 0 only; tenant 1 wants half of the capacity.
     for step in 0..4u64 {
-        relay.run(600.0 + 500.0 * step as f64);
+        node.run(600.0 + 500.0 * step as f64);
         for id in 0..10 {
-            relay.ask(of_tenant(1_000 + 100 * step + id, 0));
+            node.ask(of_tenant(1_000 + 100 * step + id, 0));
         }
     }
-    let sends = |tenant: u64| relay.tries.keys().filter(|id| (id.0 / 100 % 10 == 1) == (tenant == 1)).count();
+    let sends =
+        |tenant: u64| node.attempts.keys().filter(|id| (id.0 / 100 % 10 == 1) == (tenant == 1)).count();
     assert!(sends(1) >= 10, "tenant 1 got {}", sends(1));
-    assert!(relay.log.iter().any(|(_, a)| matches!(a, Action::Refuse { .. })), "the excess is refused");
+    assert!(node.action_log.iter().any(|(_, a)| matches!(a, Action::Refuse { .. })), "the excess is refused");
 }
 
 /// Spare capacity goes by the highest class worth seen: the worthier tenant's forecast is met first.
@@ -110,23 +111,23 @@
 fn spare_capacity_goes_by_priority() {
     let worth = |worth| Class { worth, aim_ms: 400.0, ..Class::default() };
     let settings = Settings { classes: vec![worth(1.0), worth(5.0)], ..quota(&[4.0, 4.0, 4.0]) };
-    let mut relay = Relay::with(settings, [backend(1)]); // capacity 24, guarantees of 8
-    relay.open(of_tenant(2_000, 2));
+    let mut node = Relay::with_backends(settings, [backend(1)]); // capacity 24, guarantees of 8
+    node.open(of_tenant(2_000, 2));
     for round in 0..12u64 {
         for id in 3 * round..3 * round + 3 {
             for tenant in [0u64, 1] {
                 let (id, class) = (1_000 * tenant + id, ClassId(tenant as u32));
-                if sent_to(&relay.ask(Request { class, ..of_tenant(id, tenant as u32) })).is_some() {
-                    relay.stand(id);
+                if sent_to(&node.ask(Request { class, ..of_tenant(id, tenant as u32) })).is_some() {
+                    node.establish(id);
                 }
             }
         }
-        relay.run(500.0 * (round + 1) as f64);
-        for id in relay.out.keys().copied().collect::<Vec<_>>() {
-            relay.stand(id.0);
+        node.run(500.0 * (round + 1) as f64);
+        for id in node.in_flight.keys().copied().collect::<Vec<_>>() {
+            node.establish(id.0);
         }
     }
-    let sent = |tenant: u64| relay.tries.keys().filter(|id| id.0 / 1_000 == tenant).count();
+    let sent = |tenant: u64| node.attempts.keys().filter(|id| id.0 / 1_000 == tenant).count();
     assert!(sent(1) > sent(0) && sent(0) >= 8, "{} against {}", sent(1), sent(0));
 }
 
@@ -134,10 +135,10 @@
 #[test]
 fn turns_follow_listed_weights() {
     let heavy = BackendInfo { weight: 3.0, ..backend(2) };
-    let mut relay = Relay::with(Settings::default(), [backend(1), heavy]);
+    let mut node = Relay::with_backends(Settings::default(), [backend(1), heavy]);
     let mut count = [0u32; 3];
     for id in 0..400 {
-        count[relay.open(request(id)).0 as usize] += 1;
+        count[node.open(request(id)).0 as usize] += 1;
     }
     assert!((95..=105).contains(&count[1]), "{count:?}");
 }
@@ -146,10 +147,10 @@
 #[test]
 fn a_group_meets_on_one_backend_at_every_gateway() {
     let place = |seed| {
-        let mut relay = Relay::new(Settings::default(), seed);
+        let mut node = Relay::new(Settings::default(), seed);
         let entries = (0..8).map(backend).collect();
-        relay.give(Event::Backends { scope: ListScope::Whole, entries });
-        relay.open(Request { group: Some(AffinityKey(77)), ..request(1) })
+        node.give(Event::Backends { scope: ListScope::Whole, entries });
+        node.open(Request { group: Some(AffinityKey(77)), ..request(1) })
     };
     assert_eq!(place(1), place(2));
     assert_eq!(place(2), place(3));
@@ -158,10 +159,10 @@
 /// No group may crowd one backend: the preference ends when the backend is eight turns ahead.
 #[test]
 fn a_hot_group_is_spread() {
-    let mut relay = Relay::with(Settings::default(), (0..8).map(backend));
+    let mut node = Relay::with_backends(Settings::default(), (0..8).map(backend));
     let mut count = [0u32; 8];
     for id in 0..80 {
-        count[relay.open(Request { group: Some(AffinityKey(5)), ..request(id) }).0 as usize] += 1;
+        count[node.open(Request { group: Some(AffinityKey(5)), ..request(id) }).0 as usize] += 1;
     }
     let (most, least) = (count.iter().max().unwrap(), count.iter().min().unwrap());
     assert!(most - least <= 9, "{count:?}");
@@ -170,22 +171,22 @@
 /// Connections that are open already skip limit and wait.
 #[test]
 fn mid_flow_skips_the_limit() {
-    let mut relay = Relay::with(quota(&[1.0]), [backend(1)]);
+    let mut node = Relay::with_backends(quota(&[1.0]), [backend(1)]);
     for id in 0..20 {
-        assert!(sent_to(&relay.ask(Request { mid_flow: true, ..request(id) })).is_some());
+        assert!(sent_to(&node.ask(Request { mid_flow: true, ..request(id) })).is_some());
     }
 }
 
 /// Capacity follows the listed weight at once: with twice the backends twice the connections fit.
 #[test]
 fn growth_rescales_capacity_at_once() {
-    let mut relay = Relay::with(quota(&[5.0]), [backend(1)]);
+    let mut node = Relay::with_backends(quota(&[5.0]), [backend(1)]);
     for id in 0..10 {
-        relay.open(request(id));
+        node.open(request(id));
     }
-    assert!(relay.ask(request(10)).is_empty());
-    relay.give(Event::Backends { scope: ListScope::Patch, entries: vec![backend(2)] });
-    assert!(relay.out.contains_key(&RequestId(10)));
+    assert!(node.ask(request(10)).is_empty());
+    node.give(Event::Backends { scope: ListScope::Patch, entries: vec![backend(2)] });
+    assert!(node.in_flight.contains_key(&RequestId(10)));
 }
 
 /// A contract's maximum caps the budget; what it leaves over goes to the others. Its guarantee stands against a
@@ -196,17 +197,17 @@
     let mut settings = quota(&[10.0, 10.0]); // capacity 40
     settings.tenants[0].contract = contract(4.0, 6.0, 1.0);
     settings.tenants[1].contract = contract(8.0, f64::INFINITY, 2.0);
-    let mut relay = Relay::with(settings, [backend(1)]);
+    let mut node = Relay::with_backends(settings, [backend(1)]);
     for id in 0..60 {
         for tenant in [0u64, 1] {
             let id = 1_000 * tenant + id;
-            if sent_to(&relay.ask(of_tenant(id, tenant as u32))).is_some() {
-                relay.stand(id);
+            if sent_to(&node.ask(of_tenant(id, tenant as u32))).is_some() {
+                node.establish(id);
             }
         }
     }
-    relay.run(600.0);
-    let sent = |tenant: u64| relay.tries.keys().filter(|id| id.0 / 1_000 == tenant).count();
+    node.run(600.0);
+    let sent = |tenant: u64| node.attempts.keys().filter(|id| id.0 / 1_000 == tenant).count();
     assert_eq!(sent(0), 6, "its maximum");
     // Capacity has crept up a little by the second interval.
     assert!((34..=38).contains(&sent(1)), "the rest of 40: {}", sent(1));
@@ -217,18 +218,18 @@
 #[test]
 fn a_newcomer_claims_its_equal_part_until_its_clients_have_come() {
     let sent = |took_over: bool, load: f64, wait_ms: f64| {
-        let mut relay = Relay::with(quota(&[8.0]), [backend(1), backend(2)]);
+        let mut node = Relay::with_backends(quota(&[8.0]), [backend(1), backend(2)]);
         if took_over {
-            relay.give(Event::Adopted { request: request(1_000), backend: BackendId(1) });
+            node.give(Event::Adopted { request: request(1_000), backend: BackendId(1) });
         }
-        while relay.now < wait_ms {
+        while node.now < wait_ms {
             for backend in [BackendId(1), BackendId(2)] {
                 let report = Some(Report { load_over_capacity: Some(load) });
-                relay.give(Event::ProbeEnded { backend, outcome: Outcome::Ok, report });
+                node.give(Event::ProbeEnded { backend, outcome: Outcome::Ok, report });
             }
-            relay.run(relay.now + 500.0);
+            node.run(node.now + 500.0);
         }
-        (0..8).filter(|id| sent_to(&relay.ask(request(*id))).is_some()).count()
+        (0..8).filter(|id| sent_to(&node.ask(request(*id))).is_some()).count()
     };
     // Busy, and so busy that all of them count as in trouble.
     for load in [0.8, 0.9] {
@@ -242,11 +243,11 @@
 /// times its part once the others were listed.
 #[test]
 fn the_first_list_of_discovery_settles_capacity_whatever_was_known() {
-    let mut relay = Relay::new(quota(&[5.0]), 1);
-    relay.give(Event::Backends { scope: ListScope::Stale, entries: vec![backend(1)] });
-    relay.run(600.0);
+    let mut node = Relay::new(quota(&[5.0]), 1);
+    node.give(Event::Backends { scope: ListScope::Stale, entries: vec![backend(1)] });
+    node.run(600.0);
     let entries = (1..=100).map(backend).collect();
-    relay.give(Event::Backends { scope: ListScope::Whole, entries });
-    let sent = (0..200).filter(|id| sent_to(&relay.ask(request(*id))).is_some()).count();
+    node.give(Event::Backends { scope: ListScope::Whole, entries });
+    let sent = (0..200).filter(|id| sent_to(&node.ask(request(*id))).is_some()).count();
     assert!((8..=14).contains(&sent), "{sent} let in at once, 10 are twice its part");
 }
