--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -206,7 +206,7 @@
 
 /// Reads until the connection ends or fails and returns what arrived.
 pub fn read_rest(stream: &mut BufReader<TcpStream>) -> String {
-    let mut bytes = Vec::new();
-    let _ = stream.read_to_end(&mut bytes);
-    String::from_utf8_lossy(&bytes).into_owned()
+    let mut received = Vec::new();
+    let _ = stream.read_to_end(&mut received);
+    String::from_utf8_lossy(&received).into_owned()
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -151,9 +151,8 @@
     }
 }
 
-/// Guards against a node that learned only with the member's next byte that its own bytes had been written. It
-/// took a member that had received a request and didn't answer for an unreachable one, and the request ran
-/// twice.
+/// Guards against a node that noticed a completed write only when the member's next byte arrived. It took a
+/// member that had received the request but didn't answer for an unreachable one, and the request ran twice.
 #[test]
 fn a_request_that_a_silent_member_has_received_is_not_sent_to_another() {
     pending_request().assert_fails_without_repeat();
@@ -234,14 +233,14 @@
         ("an empty list", &|discovery| discovery.answer(&list(2, true, &[]))),
     ];
     let mut failures = 0;
-    for (name, inject) in faults {
+    for (fault, inject) in faults {
         inject(&mut discovery);
         failures += 1;
         let took = expect_new_call(&mut discovery, &node, "since=1", failures);
-        assert!(took < Duration::from_millis(500), "{name}: {took:?}");
+        assert!(took < Duration::from_millis(500), "{fault}: {took:?}");
         // The first call of a watch is answered at once; the watch is established only then.
         discovery.answer(&list(1, false, &[]));
-        assert!(discovery.next_request().contains("since=1"), "{name}");
+        assert!(discovery.next_request().contains("since=1"), "{fault}");
     }
 }
 
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,34 +1,37 @@
-//! Forecast, budget, limit, pacing and placement, seen from outside against worked examples.
+//! Demand forecast, budgets, limit, pacing and placement: the actions of one node, compared with results that
+//! were worked out by hand.
 mod common;
 use common::*;
 use hopmoor::*;
 
-fn quota(connections: &[f64]) -> Settings {
+/// Settings with one tenant for each quota of connections.
+fn settings_with_quotas(connections: &[f64]) -> Settings {
     let tenants = connections.iter().map(|c| Tenant { quota_connections: *c, ..Tenant::default() }).collect();
     Settings { tenants, tick_ms: 5.0, max_retry_after_ms: 1_000.0, ..Settings::default() }
 }
 
-fn of_tenant(id: u64, tenant: u32) -> Request {
+fn tenant_request(id: u64, tenant: u32) -> Request {
     Request { tenant: TenantId(tenant), ..request(id) }
 }
 
-/// Capacity starts at twice the quota: 10 connections. A lone tenant gets its forecast and the residue, so 10
-/// go at once, the eleventh waits and leaves as soon as one ends.
+/// Capacity starts at twice the quota, so at 10 connections. An only tenant gets its forecast and what is left
+/// over, so 10 requests are sent at once. The eleventh is queued and sent as soon as a connection ends.
 #[test]
-fn limit_is_budget_over_minimum_rate_and_the_rest_queues() {
-    let mut node = Relay::with_backends(quota(&[5.0]), [backend(1), backend(2)]);
-    let places: Vec<BackendId> = (0..10).map(|id| node.open(request(id))).collect();
+fn requests_over_the_limit_are_queued_until_a_connection_ends() {
+    let mut node = Relay::with_backends(settings_with_quotas(&[5.0]), [backend(1), backend(2)]);
+    let backends: Vec<BackendId> = (0..10).map(|id| node.open(request(id))).collect();
     assert!(node.ask(request(10)).is_empty());
-    let released = node.end(0, places[0], Outcome::Ok, true);
+    let released = node.end(0, backends[0], Outcome::Ok, true);
     assert!(matches!(released[..], [Action::Attempt { id: RequestId(10), .. }]));
 }
 
-/// Hints come in units of their own, shares in connections: whatever the unit, ten usual connections go at once. Guards against
-/// hints taken for connections: two deployments turned away half of what came while their backends were idle.
+/// Load hints have a unit of their own, while budgets count connections. Ten connections with the usual hint are
+/// sent at once, whatever its unit. Guards against hints counted as connections: two deployments rejected half
+/// of their requests while their backends were idle.
 #[test]
-fn hints_count_against_the_usual_one_whatever_their_unit() {
+fn load_hints_count_relative_to_the_usual_hint_whatever_their_unit() {
     for unit in [0.001, 1.0, 2.0, 40_000.0] {
-        let mut node = Relay::with_backends(quota(&[5.0]), [backend(1)]);
+        let mut node = Relay::with_backends(settings_with_quotas(&[5.0]), [backend(1)]);
         for id in 0..10 {
             node.open(Request { load_hint: Some(unit), ..request(id) });
         }
@@ -36,35 +39,38 @@
     }
 }
 
-/// With load hints the limit counts connections of the smallest hint seen: usual ones of 4 and one of 1 leave room in number.
+/// With load hints, the limit counts connections of the smallest hint seen. With hints of 4 and one of 1, the
+/// number of open connections stays under the limit while their load reaches the budget.
 #[test]
-fn limit_follows_the_smallest_hint() {
-    let mut node = Relay::with_backends(quota(&[5.0]), [backend(1)]);
+fn the_limit_is_counted_in_connections_of_the_smallest_hint() {
+    let mut node = Relay::with_backends(settings_with_quotas(&[5.0]), [backend(1)]);
     let hints = [4.0, 4.0, 4.0, 1.0];
-    let open = (0..40).filter(|id| {
+    let sent_at_once = (0..40).filter(|id| {
         let load_hint = Some(hints[*id as usize % 4]);
         sent_to(&node.ask(Request { load_hint, ..request(*id) })).is_some()
     });
-    // Each counts by the mean of those until then; the last goes while the load is not yet over the budget of 10.
-    let (mut sum, mut load, mut under) = (0.0, 0.0, 0);
+    // Each connection's load is its hint over the mean of all hints so far. The last one is sent while the load
+    // is not yet over the budget of 10.
+    let (mut sum, mut load, mut expected) = (0.0, 0.0, 0);
     while load <= 10.0 {
-        let hint = hints[under % 4];
-        under += 1;
+        let hint = hints[expected % 4];
+        expected += 1;
         sum += hint;
-        load += hint / (sum / under as f64);
+        load += hint / (sum / expected as f64);
     }
-    assert_eq!(open.count(), under);
+    assert_eq!(sent_at_once.count(), expected);
     node.run(450.0);
-    // They are over the budget by less than one load and under the limit in number: the next are paced, not held for good.
-    assert!(node.in_flight.len() > under, "{}", node.in_flight.len());
+    // The load is over the budget by less than one connection's, and the number of connections is under the
+    // limit: further requests are paced, not queued until a connection ends.
+    assert!(node.in_flight.len() > expected, "{}", node.in_flight.len());
 }
 
-/// Over its budget a tenant's queue is paced: the wait grows with the hint. A tenant with one small and large
-/// connections is under its limit in number while its load is over budget.
+/// The queue of a tenant that is over its budget is paced, with a wait that grows with the hint. A tenant with
+/// one small connection and large ones is under its limit in number while its load is over its budget.
 #[test]
-fn queued_connections_wait_in_proportion_to_their_hint() {
+fn queued_requests_wait_longer_the_larger_their_hint() {
     let wait = |hint: f64| {
-        let mut node = Relay::with_backends(quota(&[1.0]), [backend(1)]);
+        let mut node = Relay::with_backends(settings_with_quotas(&[1.0]), [backend(1)]);
         for (id, hint) in [12.0, 1.0, 12.0].into_iter().enumerate() {
             node.open(Request { load_hint: Some(hint), ..request(id as u64) });
         }
@@ -75,49 +81,52 @@
         }
         node.now - start
     };
-    // In usual hints at their time, 12, 6.5 and 8.3: S = 1 + 0.15 + 1.44, B = 2, so that a(S-B) is 200 ms x 0.297 = 59 ms for
-    // one load; 8.33 is one, 16.67 is 1.6.
+    // The usual hint is 12, 6.5 and 8.3 as the three arrive. The load S is 1 + 0.15 + 1.44 and the budget B is 2,
+    // so the wait a(S-B) is 200 ms x 0.297 = 59 ms for a load of 1. A hint of 8.33 is a load of 1, one of 16.67
+    // a load of 1.6.
     assert!((59.0..=65.0).contains(&wait(25.0 / 3.0)), "{}", wait(25.0 / 3.0));
     assert!((95.0..=105.0).contains(&wait(50.0 / 3.0)), "{}", wait(50.0 / 3.0));
 }
 
-/// Guarantees first: a greedy tenant leaves another its equal part of the capacity.
+/// Guarantees are met first: a tenant with excessive demand leaves another its equal part of the capacity.
 #[test]
-fn a_greedy_tenant_leaves_others_their_guarantee() {
-    let mut node = Relay::with_backends(quota(&[5.0, 5.0]), [backend(1)]); // capacity 20
+fn excessive_demand_of_one_tenant_leaves_others_their_guarantee() {
+    let mut node = Relay::with_backends(settings_with_quotas(&[5.0, 5.0]), [backend(1)]); // capacity 20
     for id in 0..12 {
-        if sent_to(&node.ask(of_tenant(id, 0))).is_some() {
+        if sent_to(&node.ask(tenant_request(id, 0))).is_some() {
             node.establish(id);
         }
-        if sent_to(&node.ask(of_tenant(100 + id, 1))).is_some() {
+        if sent_to(&node.ask(tenant_request(100 + id, 1))).is_some() {
             node.establish(100 + id);
         }
     }
-    // Two more intervals of pressure from tenant 0 only; tenant 1 wants half of the capacity.
+    // Two more intervals with requests of tenant 0 only. Tenant 1 wants half of the capacity.
     for step in 0..4u64 {
         node.run(600.0 + 500.0 * step as f64);
         for id in 0..10 {
-            node.ask(of_tenant(1_000 + 100 * step + id, 0));
+            node.ask(tenant_request(1_000 + 100 * step + id, 0));
         }
     }
-    let sends =
+    let requests_sent =
         |tenant: u64| node.attempts.keys().filter(|id| (id.0 / 100 % 10 == 1) == (tenant == 1)).count();
-    assert!(sends(1) >= 10, "tenant 1 got {}", sends(1));
+    assert!(requests_sent(1) >= 10, "tenant 1 got {}", requests_sent(1));
     assert!(node.action_log.iter().any(|(_, a)| matches!(a, Action::Refuse { .. })), "the excess is refused");
 }
 
-/// Spare capacity goes by the highest class worth seen: the worthier tenant's forecast is met first.
+/// A tenant's priority is the highest class worth seen in its requests. Of the spare capacity, the forecast of
+/// the tenant with the higher priority is met first.
 #[test]
-fn spare_capacity_goes_by_priority() {
+fn spare_capacity_is_assigned_by_priority() {
     let worth = |worth| Class { worth, aim_ms: 400.0, ..Class::default() };
-    let settings = Settings { classes: vec![worth(1.0), worth(5.0)], ..quota(&[4.0, 4.0, 4.0]) };
+    let settings =
+        Settings { classes: vec![worth(1.0), worth(5.0)], ..settings_with_quotas(&[4.0, 4.0, 4.0]) };
     let mut node = Relay::with_backends(settings, [backend(1)]); // capacity 24, guarantees of 8
-    node.open(of_tenant(2_000, 2));
+    node.open(tenant_request(2_000, 2));
     for round in 0..12u64 {
         for id in 3 * round..3 * round + 3 {
             for tenant in [0u64, 1] {
                 let (id, class) = (1_000 * tenant + id, ClassId(tenant as u32));
-                if sent_to(&node.ask(Request { class, ..of_tenant(id, tenant as u32) })).is_some() {
+                if sent_to(&node.ask(Request { class, ..tenant_request(id, tenant as u32) })).is_some() {
                     node.establish(id);
                 }
             }
@@ -131,7 +140,7 @@
     assert!(sent(1) > sent(0) && sent(0) >= 8, "{} against {}", sent(1), sent(0));
 }
 
-/// Weighted round robin: turns follow the listed weights, evenly.
+/// Weighted round robin: backends get turns in proportion to their listed weights, evenly spaced.
 #[test]
 fn turns_follow_listed_weights() {
     let heavy = BackendInfo { weight: 3.0, ..backend(2) };
@@ -143,22 +152,22 @@
     assert!((95..=105).contains(&count[1]), "{count:?}");
 }
 
-/// A group's connections share a backend while turns allow, the same one at every gateway.
+/// The connections of a group share a backend while its turns allow, and every node chooses the same one.
 #[test]
-fn a_group_meets_on_one_backend_at_every_gateway() {
-    let place = |seed| {
+fn every_node_places_a_group_on_the_same_backend() {
+    let backend_at_node = |seed| {
         let mut node = Relay::new(Settings::default(), seed);
         let entries = (0..8).map(backend).collect();
         node.give(Event::Backends { scope: ListScope::Whole, entries });
         node.open(Request { group: Some(AffinityKey(77)), ..request(1) })
     };
-    assert_eq!(place(1), place(2));
-    assert_eq!(place(2), place(3));
+    assert_eq!(backend_at_node(1), backend_at_node(2));
+    assert_eq!(backend_at_node(2), backend_at_node(3));
 }
 
-/// No group may crowd one backend: the preference ends when the backend is eight turns ahead.
+/// A large group must not overload one backend: the preference for it ends when it is eight turns ahead.
 #[test]
-fn a_hot_group_is_spread() {
+fn a_large_group_is_spread_over_backends() {
     let mut node = Relay::with_backends(Settings::default(), (0..8).map(backend));
     let mut count = [0u32; 8];
     for id in 0..80 {
@@ -168,19 +177,19 @@
     assert!(most - least <= 9, "{count:?}");
 }
 
-/// Connections that are open already skip limit and wait.
+/// Requests of connections that are already open (`mid_flow`) bypass the limit and the queue.
 #[test]
-fn mid_flow_skips_the_limit() {
-    let mut node = Relay::with_backends(quota(&[1.0]), [backend(1)]);
+fn mid_flow_requests_bypass_the_limit() {
+    let mut node = Relay::with_backends(settings_with_quotas(&[1.0]), [backend(1)]);
     for id in 0..20 {
         assert!(sent_to(&node.ask(Request { mid_flow: true, ..request(id) })).is_some());
     }
 }
 
-/// Capacity follows the listed weight at once: with twice the backends twice the connections fit.
+/// Capacity follows the sum of the listed weights at once: twice the backends take twice the connections.
 #[test]
-fn growth_rescales_capacity_at_once() {
-    let mut node = Relay::with_backends(quota(&[5.0]), [backend(1)]);
+fn a_growing_pool_raises_capacity_at_once() {
+    let mut node = Relay::with_backends(settings_with_quotas(&[5.0]), [backend(1)]);
     for id in 0..10 {
         node.open(request(id));
     }
@@ -189,36 +198,37 @@
     assert!(node.in_flight.contains_key(&RequestId(10)));
 }
 
-/// A contract's maximum caps the budget; what it leaves over goes to the others. Its guarantee stands against a
+/// A contract's maximum caps the budget, and the rest goes to other tenants. Its guarantee holds also against a
 /// tenant of higher priority.
 #[test]
 fn contracts_state_guarantee_maximum_and_priority() {
     let contract = |guarantee, maximum, priority| Some(Contract { guarantee, maximum, priority });
-    let mut settings = quota(&[10.0, 10.0]); // capacity 40
+    let mut settings = settings_with_quotas(&[10.0, 10.0]); // capacity 40
     settings.tenants[0].contract = contract(4.0, 6.0, 1.0);
     settings.tenants[1].contract = contract(8.0, f64::INFINITY, 2.0);
     let mut node = Relay::with_backends(settings, [backend(1)]);
     for id in 0..60 {
         for tenant in [0u64, 1] {
             let id = 1_000 * tenant + id;
-            if sent_to(&node.ask(of_tenant(id, tenant as u32))).is_some() {
+            if sent_to(&node.ask(tenant_request(id, tenant as u32))).is_some() {
                 node.establish(id);
             }
         }
     }
     node.run(600.0);
     let sent = |tenant: u64| node.attempts.keys().filter(|id| id.0 / 1_000 == tenant).count();
-    assert_eq!(sent(0), 6, "its maximum");
-    // Capacity has crept up a little by the second interval.
-    assert!((34..=38).contains(&sent(1)), "the rest of 40: {}", sent(1));
+    assert_eq!(sent(0), 6, "tenant 0 gets its maximum");
+    // Capacity has grown a little by the second interval.
+    assert!((34..=38).contains(&sent(1)), "tenant 1 gets the rest of 40: {}", sent(1));
 }
 
-/// Guards against a newcomer that claims little because it holds little yet, and turns away the clients of the process
-/// before it: they come at once, seconds after its start. One that took connections over holds what is its own.
+/// Guards against a new node that claims little capacity because it has few connections yet. The clients of the
+/// previous process all come at once, seconds after the start, and were rejected. A node that took over
+/// connections has its clients already and claims only what they need.
 #[test]
-fn a_newcomer_claims_its_equal_part_until_its_clients_have_come() {
-    let sent = |took_over: bool, load: f64, wait_ms: f64| {
-        let mut node = Relay::with_backends(quota(&[8.0]), [backend(1), backend(2)]);
+fn a_new_node_claims_its_equal_part_until_its_clients_have_connected() {
+    let requests_sent = |took_over: bool, load: f64, wait_ms: f64| {
+        let mut node = Relay::with_backends(settings_with_quotas(&[8.0]), [backend(1), backend(2)]);
         if took_over {
             node.give(Event::Adopted { request: request(1_000), backend: BackendId(1) });
         }
@@ -231,23 +241,23 @@
         }
         (0..8).filter(|id| sent_to(&node.ask(request(*id))).is_some()).count()
     };
-    // Busy, and so busy that all of them count as in trouble.
+    // Backends that are busy, and so busy that all of them count as in trouble.
     for load in [0.8, 0.9] {
-        assert!(sent(false, load, 5_000.0) >= 7, "{load}");
-        assert!(sent(true, load, 5_000.0) <= 3, "{load}");
-        assert!(sent(false, load, 20_000.0) <= 3, "{load}");
+        assert!(requests_sent(false, load, 5_000.0) >= 7, "{load}");
+        assert!(requests_sent(true, load, 5_000.0) <= 3, "{load}");
+        assert!(requests_sent(false, load, 20_000.0) <= 3, "{load}");
     }
 }
 
-/// Guards against capacity settled by a list that was not whole: a process that knew one backend of a hundred let in a hundred
-/// times its part once the others were listed.
+/// Guards against a capacity that is fixed by an incomplete list: a node that started with one known backend of
+/// a hundred admitted a hundred times its part once the others were listed.
 #[test]
-fn the_first_list_of_discovery_settles_capacity_whatever_was_known() {
-    let mut node = Relay::new(quota(&[5.0]), 1);
+fn the_first_list_of_discovery_sets_the_capacity_whatever_was_known() {
+    let mut node = Relay::new(settings_with_quotas(&[5.0]), 1);
     node.give(Event::Backends { scope: ListScope::Stale, entries: vec![backend(1)] });
     node.run(600.0);
     let entries = (1..=100).map(backend).collect();
     node.give(Event::Backends { scope: ListScope::Whole, entries });
     let sent = (0..200).filter(|id| sent_to(&node.ask(request(*id))).is_some()).count();
-    assert!((8..=14).contains(&sent), "{sent} let in at once, 10 are twice its part");
+    assert!((8..=14).contains(&sent), "{sent} admitted at once; 10 are twice the node's part");
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,36 +1,42 @@
-//! What all gateways together send to members that have just started, in virtual time, against what the settings allow: N calls
-//! in any span, N being the multiple of what a member can take at the slowest warm-up, and 2 x root of N + 2 for chance. A member
-//! can take its even part of the stated rate.
+//! Slow start over a whole fleet in virtual time: what all nodes together send to members that have just
+//! started, compared with what the settings allow. Allowed are N requests in any span, where N is the multiple
+//! of what a member can take at the slowest warm-up, and 2 x root of N + 2 for chance. A member can take its
+//! even share of the stated rate.
 mod common;
 use common::fleet::*;
 
-/// Guards against a storm at the start: each gateway's first request, as rare as they are there, passed for one of the usual
-/// ones, and thirty of those, with their halves and thirds, for far more than a newcomer bears.
+/// Guards against an overload by many nodes at the start. Requests are rare at each node, and each node took its
+/// first one as a measure of the usual rate. With thirty nodes, these first requests and the halves and thirds
+/// that followed from them were far more than a new member can take.
 #[test]
-fn twenty_and_thirty_gateways_together_spare_newcomers_in_storms() {
-    for play in [SLOW, QUICK, LONG, TWENTY] {
+fn twenty_or_thirty_nodes_do_not_overload_new_members_in_bursts() {
+    for scenario in [SLOW, QUICK, LONG, TWENTY] {
         for surge in [0.0, 5.0, 15.0] {
-            for groups in [play.groups, 0] {
-                let (most, least) = worst(WarmupScenario { surge, groups, ..play }, 4);
-                assert!(most <= 0.0, "{most:+.2} too many");
-                assert!(least >= 2.0, "newcomers stand idle");
+            for groups in [scenario.groups, 0] {
+                let (excess, mean_connections) = worst(WarmupScenario { surge, groups, ..scenario }, 4);
+                assert!(excess <= 0.0, "{excess:+.2} requests over the allowance");
+                assert!(mean_connections >= 2.0, "new members stay idle");
             }
         }
     }
 }
 
 #[test]
-fn three_hundred_gateways_spare_newcomers_where_requests_have_no_groups() {
-    let play = WarmupScenario { nodes: 300, members: 80, cold_members: 40, rate: 80.0, groups: 0, ..SLOW };
+fn three_hundred_nodes_do_not_overload_new_members_without_groups() {
+    let scenario =
+        WarmupScenario { nodes: 300, members: 80, cold_members: 40, rate: 80.0, groups: 0, ..SLOW };
     for surge in [0.0, 10.0] {
-        let (most, least) = worst(WarmupScenario { surge, ..play }, 2);
-        assert!(most <= 0.0 && least >= 2.0, "{most:+.2} too many");
+        let (excess, mean_connections) = worst(WarmupScenario { surge, ..scenario }, 2);
+        assert!(
+            excess <= 0.0 && mean_connections >= 2.0,
+            "{excess:+.2} requests over the allowance, {mean_connections:.2} connections"
+        );
     }
 }
 
 #[test]
-fn three_hundred_gateways_spare_newcomers_at_a_large_groups_place() {
-    let play = WarmupScenario {
+fn three_hundred_nodes_do_not_overload_the_new_member_of_a_large_group() {
+    let scenario = WarmupScenario {
         nodes: 300,
         members: 80,
         cold_members: 40,
@@ -39,16 +45,19 @@
         groups: 56,
         ..SLOW
     };
-    let (most, least) = worst(play, 2);
-    assert!(most <= 0.0 && least >= 2.0, "{most:+.2} too many");
+    let (excess, mean_connections) = worst(scenario, 2);
+    assert!(
+        excess <= 0.0 && mean_connections >= 2.0,
+        "{excess:+.2} requests over the allowance, {mean_connections:.2} connections"
+    );
 }
 
-/// Guards against incident 1: a zone is lost and comes back cold, its gateways with it. Each request passed the draws of one cold
-/// member after the other until one let it in, so that all of the zone's traffic went to members of which each was taken to get
-/// its even part.
+/// Guards against incident 1: a zone is lost and its members and nodes restart together. Each request went
+/// through the random admission of one cold member after the other until one admitted it. So all of the zone's
+/// traffic went to cold members, while the admission assumed that each got only its even share.
 #[test]
-fn a_zone_that_comes_back_cold_with_its_gateways_is_spared() {
-    let play = WarmupScenario {
+fn members_of_a_restarted_zone_are_not_overloaded_by_its_restarted_nodes() {
+    let scenario = WarmupScenario {
         nodes: 300,
         members: 84,
         rate: 160.0,
@@ -57,7 +66,11 @@
         zones: 6,
         ..SLOW
     };
-    let all = [(false, 0.0), (true, 0.0), (false, 2.0), (true, 2.0)];
-    let all = all.map(|(nodes_restarted, surge)| worst(WarmupScenario { nodes_restarted, surge, ..play }, 3));
-    assert!(all.iter().all(|(most, least)| *most <= 0.0 && *least >= 2.0), "{all:.2?}");
+    let variants = [(false, 0.0), (true, 0.0), (false, 2.0), (true, 2.0)];
+    let results = variants
+        .map(|(nodes_restarted, surge)| worst(WarmupScenario { nodes_restarted, surge, ..scenario }, 3));
+    assert!(
+        results.iter().all(|(excess, mean_connections)| *excess <= 0.0 && *mean_connections >= 2.0),
+        "{results:.2?}"
+    );
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,4 +1,5 @@
-//! A process that starts while discovery is slow, and what it may do by the list that it was started with.
+//! A node that starts while discovery is slow: to which members it may send by the list that it was started with
+//! (`known`) and by answers that arrive late or cut off.
 #[path = "common/node.rs"]
 mod node;
 use hopmoor_standin::sockets::{Member, Stage};
@@ -8,54 +9,56 @@
 use std::thread;
 use std::time::Duration;
 
-/// A discovery that serves one call after so long, with this list.
-fn slow_discovery(after: Duration, list: String) -> String {
+/// Starts a discovery that answers one request with `list` after `delay`, and returns its address.
+fn slow_discovery(delay: Duration, list: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let _ = stream.read(&mut [0; 1024]).unwrap();
-        thread::sleep(after);
+        thread::sleep(delay);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
         stream.write_all((head + &list).as_bytes()).unwrap();
-        // Kept open until the test ends.
+        // Keeps the connection open until the test ends.
         let _ = stream.read_to_end(&mut Vec::new());
     });
     address
 }
 
+/// Returns a whole list in discovery's JSON format with one ready host.
 fn list(seq: u32, name: &str, dial: &str) -> String {
     format!(
         r#"{{"seq":{seq},"whole":true,"hosts":[{{"host":"{name}","dial":"{dial}","site":"a","block":0,"health":"Ready","share":1.0,"born_ms":0}}]}}"#
     )
 }
 
-/// Guards against a process that sends by the list it was started with while discovery keeps its first call in line: that list may
-/// be of any age, and a change counts as told 6 s after discovery had it, also for a process that has just started.
+/// Guards against a node that sends requests by the list it was started with while its first call waits in
+/// discovery's queue. That list may be of any age, and a change counts as told 6 s after discovery had it, also
+/// for a node that has just started.
 #[test]
-fn nothing_is_sent_by_the_known_list_while_discovery_keeps_the_first_call_in_line() {
+fn a_new_node_sends_nothing_by_its_known_list_while_its_first_call_is_queued() {
     let stage = Stage::new().unwrap();
     let gone = Member::start(&stage, 1).unwrap();
-    let serves = Member::start(&stage, 2).unwrap();
-    let discovery = slow_discovery(Duration::from_millis(2_400), list(7, "s-serves", &serves.address()));
+    let serving = Member::start(&stage, 2).unwrap();
+    let discovery = slow_discovery(Duration::from_millis(2_400), list(7, "s-serves", &serving.address()));
     let known = list(1, "s-gone", &gone.address());
     let config = config(&discovery).replace(r#"{"seq":0,"whole":true,"hosts":[]}"#, &known);
     let node = launch(&config, |_| ());
     let answer = talk(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=6000\r\n");
-    assert_eq!(gone.attempts().0, 0, "sent to one that is gone");
+    assert_eq!(gone.attempts().0, 0, "a request was sent to a member that is gone");
     assert_eq!(answer, "UP 2\r\n");
 }
 
-/// Guards against sends by a list that was overtaken by an answer which came cut: discovery wrote who has gone, and what it writes
-/// counts as told.
+/// Guards against requests sent by an old list after a newer answer was cut off on its way. Discovery wrote that
+/// the member is gone, and what it writes counts as told.
 #[test]
-fn nothing_is_sent_to_one_that_an_answer_cut_on_its_way_told_gone() {
+fn nothing_is_sent_by_the_old_list_after_a_newer_answer_was_cut_off() {
     let stage = Stage::new().unwrap();
     let gone = Member::start(&stage, 1).unwrap();
     let whole = list(7, "s-gone", &gone.address());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let (told, is_told) = std::sync::mpsc::channel();
+    let (written, is_written) = std::sync::mpsc::channel();
     thread::spawn(move || {
         let head = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         let (mut stream, _) = listener.accept().unwrap();
@@ -65,22 +68,23 @@
         let change = whole.replace(r#""seq":7"#, r#""seq":8"#).replace("Ready", "Gone");
         stream.write_all((head(&change) + &change[..change.len() / 2]).as_bytes()).unwrap();
         drop(stream);
-        told.send(std::time::Instant::now()).unwrap();
-        // Later calls are taken and not answered.
-        let _calls: Vec<_> = listener.incoming().collect();
+        written.send(std::time::Instant::now()).unwrap();
+        // Later connections are accepted and not answered.
+        let _connections: Vec<_> = listener.incoming().collect();
     });
     let node = launch(&config(&address), |_| ());
-    let until = is_told.recv_timeout(Duration::from_secs(10)).unwrap() + Duration::from_millis(800);
+    let until = is_written.recv_timeout(Duration::from_secs(10)).unwrap() + Duration::from_millis(800);
     assert!(within(2.0, || std::time::Instant::now() > until));
     let before = gone.attempts().0;
     let answer = talk(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
     assert_eq!((gone.attempts().0 - before, answer.starts_with("BUSY")), (0, true), "{answer}");
 }
 
-/// Guards against an answer that counts as new when it arrives: it was on its way while the list changed. What discovery has counts as
-/// told 6 s after, so that nothing may be sent from 6.75 s on, whatever else fails then.
+/// Guards against a late answer that counts as current when it arrives, although the list changed while it was
+/// on its way. What discovery has counts as told 6 s later, so nothing may be sent by the old list from 6.75 s
+/// on, whatever else fails then.
 #[test]
-fn an_answer_that_was_long_on_its_way_is_as_old_as_its_call() {
+fn a_late_answer_counts_as_old_as_the_call_that_it_answers() {
     let stage = Stage::new().unwrap();
     let gone = Member::start(&stage, 1).unwrap();
     let whole = list(7, "s-gone", &gone.address());
@@ -93,12 +97,12 @@
         let _ = stream.read(&mut [0; 1024]).unwrap();
         stream.write_all(answer(&whole).as_bytes()).unwrap();
         let _ = stream.read(&mut [0; 1024]).unwrap();
-        // The member goes right after this; the answer that says nothing of it comes as late as one may.
+        // The member is gone right after this. The answer, which doesn't say so, comes as late as the node allows.
         called.send(std::time::Instant::now()).unwrap();
         thread::sleep(Duration::from_millis(2_850));
         stream.write_all(answer(r#"{"seq":7,"whole":false,"hosts":[]}"#).as_bytes()).unwrap();
-        // Later calls are taken and not answered.
-        let _calls: Vec<_> = listener.incoming().collect();
+        // Later connections are accepted and not answered.
+        let _connections: Vec<_> = listener.incoming().collect();
     });
     let node = launch(&config(&address), |_| ());
     let until = is_called.recv_timeout(Duration::from_secs(10)).unwrap() + Duration::from_millis(6_850);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -292,9 +292,9 @@
 /// actions.
 #[test]
 fn random_events_keep_the_rules_and_repeat_exactly() {
-    let actions = random_run(11);
-    assert_eq!(actions.len(), random_run(11).len());
-    assert_eq!(actions, random_run(11));
+    let first_run = random_run(11);
+    assert_eq!(first_run.len(), random_run(11).len());
+    assert_eq!(first_run, random_run(11));
     for seed in 12..20 {
         random_run(seed);
     }
@@ -439,16 +439,16 @@
         let started_at = Some(node.now - offset_ms);
         let entries = vec![BackendInfo { started_at, ..backend(9) }];
         node.give(Event::Backends { scope: ListScope::Patch, entries });
-        let mut sends = 0;
+        let mut sends_to_new = 0;
         for id in 0..200 {
             let from = node.now;
             node.run(from + 12.5);
-            sends += u32::from(sent_to(&node.ask(request(1_000 + id))) == Some(BackendId(9)));
+            sends_to_new += u32::from(sent_to(&node.ask(request(1_000 + id))) == Some(BackendId(9)));
         }
-        sends
+        sends_to_new
     };
-    let sends = [0.0, 3_600_000.0, -3_600_000.0, 5_000.0, -5_000.0].map(sends_with_offset);
+    let counts = [0.0, 3_600_000.0, -3_600_000.0, 5_000.0, -5_000.0].map(sends_with_offset);
     // The expected number N is 3 x 0.12 to 0.21 x 0.5 a second x 3 s, at most 0.95; allowed are N + 3 x root of
     // N + 3.
-    assert!(sends.iter().all(|sends| *sends <= 6), "{sends:?}");
+    assert!(counts.iter().all(|count| *count <= 6), "{counts:?}");
 }
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -1,4 +1,4 @@
-//! Failures met in incidents: each test is the small form of one.
+//! Failures met in incidents, each reduced to a small test of one node's decisions.
 mod common;
 use common::*;
 use hopmoor::*;
@@ -14,73 +14,79 @@
     }
 }
 
-fn note(node: &mut Relay, backend: BackendId, took_ms: f64) {
+/// Reports how long a message took on a connection to the backend.
+fn report_delay(node: &mut Relay, backend: BackendId, took_ms: f64) {
     node.give(Event::MessageDelay { backend, took_ms });
 }
 
-fn moves(log: &[Action]) -> Vec<RequestId> {
+/// Returns the connections that the node moved away from their backends.
+fn moved_connections(actions: &[Action]) -> Vec<RequestId> {
     let id = |action: &Action| if let Action::Move { id } = action { Some(*id) } else { None };
-    log.iter().filter_map(id).collect()
+    actions.iter().filter_map(id).collect()
 }
 
-/// Incident i461138: a backend over its capacity is relieved, of part of what it holds, worth least first.
+/// Incident i461138: a backend over its capacity is relieved of part of its connections, those with the least
+/// worth for their load first.
 #[test]
 fn an_overloaded_backend_is_relieved_of_its_excess() {
     let mut node = Relay::with_backends(settings(), (0..10).map(backend));
-    let places: Vec<BackendId> = (0..100).map(|id| node.open(request(id))).collect();
-    let on: Vec<u64> = (0..100).filter(|id| places[*id as usize] == BackendId(3)).collect();
-    for (rank, id) in on.iter().enumerate() {
+    let backends: Vec<BackendId> = (0..100).map(|id| node.open(request(id))).collect();
+    let on_third: Vec<u64> = (0..100).filter(|id| backends[*id as usize] == BackendId(3)).collect();
+    for (rank, id) in on_third.iter().enumerate() {
         node.give(Event::LoadChanged { id: RequestId(*id), load: 1_000.0 * (1 + rank) as f64 });
     }
-    note(&mut node, BackendId(3), 200.0);
-    let moved = moves(&node.run(600.0));
-    assert!(!moved.is_empty() && moved.len() < on.len(), "{moved:?} of {on:?}");
-    let heaviest = &on[on.len() - moved.len()..];
-    assert!(moved.iter().all(|id| heaviest.contains(&id.0)), "{moved:?} of {on:?}");
-    assert!(moves(&node.run(2_000.0)).is_empty(), "not again on the same note");
+    report_delay(&mut node, BackendId(3), 200.0);
+    let moved = moved_connections(&node.run(600.0));
+    assert!(!moved.is_empty() && moved.len() < on_third.len(), "{moved:?} of {on_third:?}");
+    let heaviest = &on_third[on_third.len() - moved.len()..];
+    assert!(moved.iter().all(|id| heaviest.contains(&id.0)), "{moved:?} of {on_third:?}");
+    assert!(
+        moved_connections(&node.run(2_000.0)).is_empty(),
+        "connections were moved a second time because of the same delay report"
+    );
 }
 
-/// A backend without trouble is left alone, and an old note is void.
+/// No connection is moved off a backend that has no trouble; a newer delay report replaces the older one.
 #[test]
-fn calm_backends_are_left_alone() {
+fn backends_without_trouble_keep_their_connections() {
     let mut node = Relay::with_backends(settings(), (0..4).map(backend));
     for id in 0..20 {
         node.open(request(id));
     }
-    note(&mut node, BackendId(1), 60.0);
-    note(&mut node, BackendId(1), 5.0);
-    assert!(moves(&node.run(5_000.0)).is_empty());
+    report_delay(&mut node, BackendId(1), 60.0);
+    report_delay(&mut node, BackendId(1), 5.0);
+    assert!(moved_connections(&node.run(5_000.0)).is_empty());
 }
 
-/// Incident iae0632: with few connections over many backends a gateway hears only some of them; when all of
-/// those are in trouble there is a shortage, though the others are silent.
+/// Incident iae0632: with few connections over many backends, a node gets delay reports of only some backends.
+/// If all of those are in trouble there is a shortage, although the others report nothing.
 #[test]
-fn silence_of_backends_without_connections_is_no_health() {
+fn backends_without_connections_do_not_count_as_healthy() {
     let mut node = Relay::with_backends(settings(), (0..40).map(backend));
-    let places: Vec<BackendId> = (0..10).map(|id| node.open(request(id))).collect();
-    places.iter().for_each(|place| note(&mut node, *place, 300.0));
-    let log = node.run(600.0);
-    assert!(!moves(&log).is_empty());
-    assert!(sent_to(&node.ask(request(50))).is_none(), "the budget is under what is open");
+    let backends: Vec<BackendId> = (0..10).map(|id| node.open(request(id))).collect();
+    backends.iter().for_each(|backend| report_delay(&mut node, *backend, 300.0));
+    let actions = node.run(600.0);
+    assert!(!moved_connections(&actions).is_empty());
+    assert!(sent_to(&node.ask(request(50))).is_none(), "the budget is below the open connections");
 }
 
-/// Everything slow together: nobody is put aside; requests still go out evenly once there is budget.
+/// Slow messages at one backend lower no budget, and no backend is set aside: requests still go out evenly.
 #[test]
 fn one_backend_in_trouble_is_no_shortage() {
     let mut node = Relay::with_backends(settings(), (0..10).map(backend));
     for id in 0..50 {
         node.open(request(id));
     }
-    note(&mut node, BackendId(0), 300.0);
+    report_delay(&mut node, BackendId(0), 300.0);
     node.run(600.0);
     let mut used = std::collections::BTreeSet::new();
     used.extend((100..140).map(|id| node.open(request(id))));
     assert!(used.len() >= 9, "{used:?}");
 }
 
-/// A dead backend is paused after its first failed connect, and tried again later.
+/// An unreachable backend is paused after its first failed connect and retried later.
 #[test]
-fn a_dead_backend_is_paused_and_tried_again() {
+fn an_unreachable_backend_is_paused_and_retried() {
     let mut node = Relay::with_backends(settings(), [backend(1), backend(2)]);
     let mut failures = Vec::new();
     for id in 0..400 {
@@ -94,12 +100,12 @@
     assert!((3..=8).contains(&failures.len()), "{failures:?}");
 }
 
-/// All connections of a backend broke at once: it died, whatever the list says.
+/// A backend whose connections all broke at once has died, whatever the list says.
 #[test]
-fn a_backend_that_lost_all_it_held_is_paused() {
+fn a_backend_that_loses_all_its_connections_is_paused() {
     let mut node = Relay::with_backends(settings(), [backend(1), backend(2)]);
-    let places: Vec<BackendId> = (0..10).map(|id| node.open(request(id))).collect();
-    for id in (0..10).filter(|id| places[*id as usize] == BackendId(1)) {
+    let backends: Vec<BackendId> = (0..10).map(|id| node.open(request(id))).collect();
+    for id in (0..10).filter(|id| backends[*id as usize] == BackendId(1)) {
         node.end(id, BackendId(1), Outcome::Reset, true);
     }
     for id in 20..25 {
@@ -107,9 +113,10 @@
     }
 }
 
-/// Reports make capacity: at half load a gateway may open as much again, and when loads fall, more.
+/// Capacity is learned from load reports: at half load a node may open as many connections again, and more when
+/// loads fall.
 #[test]
-fn capacity_is_claimed_from_reports() {
+fn capacity_is_learned_from_load_reports() {
     let tenants = vec![Tenant { quota_connections: 4.0, ..Tenant::default() }];
     let mut node =
         Relay::with_backends(Settings { reports: true, tenants, ..settings() }, [backend(1), backend(2)]);
@@ -127,62 +134,63 @@
         }
         node.run(node.now + 500.0);
     }
-    let more = (100..130).filter(|id| sent_to(&node.ask(request(*id))).is_some()).count();
-    assert!((7..=9).contains(&more), "{more} more beside 8 open at 0.45 of load");
+    let sent = (100..130).filter(|id| sent_to(&node.ask(request(*id))).is_some()).count();
+    assert!((7..=9).contains(&sent), "{sent} sent in addition to 8 open at a load of 0.45");
 }
 
-/// Guards against a silent backend that goes on getting its turns, and against one that never comes back.
+/// Guards against a silent backend that keeps its turns in the round robin, and against one that never gets
+/// them back.
 #[test]
-fn a_silent_backend_is_left_out_and_an_answered_probe_brings_it_back() {
+fn a_silent_backend_is_excluded_until_it_answers_a_probe() {
     let mut node = Relay::with_backends(Settings::default(), [backend(1), backend(2)]);
     let mut id = 0;
-    let mut sent = |node: &mut Relay, silent: Option<BackendId>| {
+    let mut connect = |node: &mut Relay, silent: Option<BackendId>| {
         id += 1;
-        let mut to = sent_to(&node.ask(request(id))).unwrap();
-        if Some(to) == silent {
-            to = sent_to(&node.end(id, to, Outcome::TimedOut, false)).unwrap();
+        let mut target = sent_to(&node.ask(request(id))).unwrap();
+        if Some(target) == silent {
+            target = sent_to(&node.end(id, target, Outcome::TimedOut, false)).unwrap();
         }
         node.establish(id);
-        to
+        target
     };
     let silent = BackendId(1);
-    assert!((0..20).all(|_| sent(&mut node, Some(silent)) != silent));
+    assert!((0..20).all(|_| connect(&mut node, Some(silent)) != silent));
     let tried =
         node.action_log.iter().filter(|(_, a)| sent_to(std::slice::from_ref(a)) == Some(silent)).count();
     assert!(tried <= 2, "tried {tried} times");
     node.run(node.now + 20_000.0);
     node.give(Event::ProbeEnded { backend: silent, outcome: Outcome::Ok, report: None });
-    assert!((0..20).any(|_| sent(&mut node, None) == silent), "it never came back");
+    assert!((0..20).any(|_| connect(&mut node, None) == silent), "the backend stayed excluded");
 }
 
-/// Guards against bad requests that have every backend left out: each is an error at all of them.
+/// Guards against an invalid request that gets every backend excluded because it is an error at each of them.
 #[test]
 fn an_error_counts_against_a_backend_only_if_another_serves_the_request() {
     let mut node = Relay::with_backends(Settings::default(), (1..=5).map(backend));
     let mut actions = node.ask(request(1));
     let mut attempts = 0;
-    while let Some(to) = sent_to(&actions) {
+    while let Some(target) = sent_to(&actions) {
         attempts += 1;
-        actions = node.end(1, to, Outcome::Error, false);
+        actions = node.end(1, target, Outcome::Error, false);
     }
-    assert!(has_refusal(&actions) && attempts == 3, "{attempts} tries, then {actions:?}");
-    // Nobody is left out for it.
-    let to: std::collections::BTreeSet<_> = (10..15).map(|id| node.open(request(id))).collect();
-    assert_eq!(to.len(), 5);
-    // One that errs where another serves is.
-    let wrong = sent_to(&node.ask(request(20))).unwrap();
-    node.end(20, wrong, Outcome::Error, false);
+    assert!(has_refusal(&actions) && attempts == 3, "{attempts} attempts, then {actions:?}");
+    // No backend is excluded because of that request.
+    let used: std::collections::BTreeSet<_> = (10..15).map(|id| node.open(request(id))).collect();
+    assert_eq!(used.len(), 5);
+    // A backend that answers with an error where another serves the request is excluded.
+    let faulty = sent_to(&node.ask(request(20))).unwrap();
+    node.end(20, faulty, Outcome::Error, false);
     node.establish(20);
-    assert!((30..40).all(|id| node.open(request(id)) != wrong));
+    assert!((30..40).all(|id| node.open(request(id)) != faulty));
 }
 
-/// Guards against clients that wait in vain for room that reports tell of: those of a gateway that had ended came to
-/// another all at once, and were refused after their whole time.
+/// Guards against clients that wait although load reports show room for them: the clients of a node that had
+/// exited came to another node all at once, waited until their deadline and were refused.
 #[test]
-fn without_trouble_the_limit_follows_the_room_that_reports_tell_of() {
+fn without_trouble_the_limit_follows_the_room_shown_by_load_reports() {
     let mut node =
         Relay::with_backends(Settings { reports: true, ..Settings::default() }, (1..=5).map(backend));
-    let told = |node: &mut Relay, x0: f64, rounds: usize| {
+    let report_and_run = |node: &mut Relay, x0: f64, rounds: usize| {
         for _ in 0..rounds {
             for id in 1..=5 {
                 let report = Some(Report { load_over_capacity: Some(x0) });
@@ -197,91 +205,95 @@
     for id in 1..=30 {
         node.open(request(id));
     }
-    told(&mut node, 0.8, 60);
+    report_and_run(&mut node, 0.8, 60);
     for id in 100..140 {
         node.ask(Request { grace_ms: 10_000.0, ..request(id) });
     }
-    told(&mut node, 0.3, 2);
+    report_and_run(&mut node, 0.3, 2);
     let sent = (100..140).filter(|id| node.attempts.contains_key(&RequestId(*id))).count();
     assert!(sent >= 36, "{sent} of 40 were sent");
 }
 
-fn tell(node: &mut Relay, loads: &[f64]) {
-    for (at, load) in loads.iter().enumerate() {
+/// Reports a load over capacity for each of the backends 1, 2 and so on.
+fn report_loads(node: &mut Relay, loads: &[f64]) {
+    for (index, load) in loads.iter().enumerate() {
         let report = Some(Report { load_over_capacity: Some(*load) });
-        node.give(Event::ProbeEnded { backend: BackendId(at as u64 + 1), outcome: Outcome::Ok, report });
+        node.give(Event::ProbeEnded { backend: BackendId(index as u64 + 1), outcome: Outcome::Ok, report });
     }
 }
 
-/// Two members of five ran hot for ten seconds while the others stood at a third; the limit was lowered to what
-/// was open, and clients were refused after their whole time.
+/// Guards against a limit that was lowered to the open connections because two backends of five were overloaded
+/// for ten seconds, while the others were at a third of their capacity. Clients waited until their deadline and
+/// were refused.
 #[test]
-fn trouble_on_some_beside_room_elsewhere_does_not_lower_the_limit() {
+fn overloaded_backends_do_not_lower_the_limit_while_others_have_room() {
     let mut node =
         Relay::with_backends(Settings { reports: true, ..Settings::default() }, (1..=5).map(backend));
     for id in 1..=30 {
         node.open(request(id));
     }
     for _ in 0..20 {
-        tell(&mut node, &[1.0, 0.95, 0.3, 0.3, 0.3]);
+        report_loads(&mut node, &[1.0, 0.95, 0.3, 0.3, 0.3]);
         node.run(node.now + 500.0);
     }
     let sent = (100..110).filter(|id| sent_to(&node.ask(request(*id))).is_some()).count();
-    assert_eq!(sent, 10, "room for them stands in the reports");
+    assert_eq!(sent, 10, "the reports show room for all");
     node.run(node.now + 500.0);
     for _ in 0..20 {
-        tell(&mut node, &[1.0, 0.95, 0.9, 0.9, 0.9]);
+        report_loads(&mut node, &[1.0, 0.95, 0.9, 0.9, 0.9]);
         node.run(node.now + 500.0);
     }
-    assert!(sent_to(&node.ask(request(200))).is_none(), "a shortage does lower it");
+    assert!(sent_to(&node.ask(request(200))).is_none(), "a shortage must lower the limit");
 }
 
-/// Each member that holds any of a group pays for the whole of it: on a calm day every group was on every member.
+/// Each backend with a connection of a group bears the cost of the whole group. Guards against groups that
+/// spread: on a day of little load every group was on every backend.
 #[test]
-fn a_group_stays_where_it_is_while_that_backend_has_room() {
+fn a_group_stays_on_its_backend_while_that_has_room() {
     let grouped = |id, group| Request { group: Some(AffinityKey(group)), ..request(id) };
     for group in 0..8 {
         let mut node =
             Relay::with_backends(Settings { reports: true, ..Settings::default() }, (1..=5).map(backend));
         let holder = BackendId(1 + group % 5);
         node.give(Event::Adopted { request: grouped(1, group), backend: holder });
-        tell(&mut node, &[0.3; 5]);
+        report_loads(&mut node, &[0.3; 5]);
         node.run(600.0);
         assert_eq!(node.open(grouped(2, group)), holder, "group {group}");
         let mut loads = [0.3; 5];
         loads[holder.0 as usize - 1] = 0.8;
-        tell(&mut node, &loads);
+        report_loads(&mut node, &loads);
         node.run(1_200.0);
-        assert_eq!(node.open(grouped(3, group)), holder, "group {group} has room where it is");
+        assert_eq!(node.open(grouped(3, group)), holder, "group {group} has room on its backend");
         loads[holder.0 as usize - 1] = 0.9;
-        tell(&mut node, &loads);
+        report_loads(&mut node, &loads);
         node.run(1_800.0);
-        assert_ne!(node.open(grouped(4, group)), holder, "group {group} must not fill one up");
+        assert_ne!(node.open(grouped(4, group)), holder, "group {group} must not fill its backend up");
     }
 }
 
-/// A member held out by a long turn, taken when it was full, stood at 0.07 of load for twenty seconds.
+/// Guards against a backend that waits too long for its next turn: one that got its last turn while it was full
+/// stayed at a load of 0.07 for twenty seconds.
 #[test]
-fn a_backend_that_has_recovered_gets_its_turns_back() {
+fn a_recovered_backend_gets_its_turns_back() {
     let mut node =
         Relay::with_backends(Settings { reports: true, ..Settings::default() }, (1..=2).map(backend));
-    tell(&mut node, &[0.98, 0.3]);
+    report_loads(&mut node, &[0.98, 0.3]);
     node.run(600.0);
-    let last = (0..40).find(|id| node.open(request(*id)) == BackendId(1));
-    assert!(last.is_some(), "a loaded one still gets a turn now and then");
-    tell(&mut node, &[0.1, 0.3]);
+    let turn = (0..40).find(|id| node.open(request(*id)) == BackendId(1));
+    assert!(turn.is_some(), "a loaded backend must still get an occasional turn");
+    report_loads(&mut node, &[0.1, 0.3]);
     node.run(node.now + 500.0);
-    let got = (100..110).filter(|id| node.open(request(*id)) == BackendId(1)).count();
-    assert!(got >= 4, "{got} of 10 after it has recovered");
+    let turns = (100..110).filter(|id| node.open(request(*id)) == BackendId(1)).count();
+    assert!(turns >= 4, "{turns} of 10 turns after the backend has recovered");
 }
 
-/// A member at 1.3 of its capacity served nobody for six seconds: the lightest clients were moved, and the booking
-/// screens worth most stayed where nothing was answered.
+/// Guards against relief that moves the wrong clients: a backend at 1.3 of its capacity answered nothing for six
+/// seconds, and the lightest clients were moved off it while the booking screens, which are worth most, stayed.
 #[test]
-fn with_room_elsewhere_relief_moves_those_worth_most() {
+fn with_room_elsewhere_relief_moves_the_most_valuable_connections() {
     let class = |worth| Class { worth, message_aim_ms: 50.0, ..Class::default() };
     let settings = Settings { classes: vec![class(1.0), class(5.0)], reports: true, ..Settings::default() };
-    for (others, first) in [(0.3, 1), (0.9, 0)] {
+    for (other_load, moved_class) in [(0.3, 1), (0.9, 0)] {
         let mut node = Relay::with_backends(settings.clone(), (1..=5).map(backend));
         for id in 0..10 {
             let request = Request { class: ClassId(id as u32 % 2), ..request(id) };
@@ -290,9 +302,12 @@
         for id in 10..14 {
             node.give(Event::Adopted { request: request(id), backend: BackendId(id - 8) });
         }
-        tell(&mut node, &[1.3, others, others, others, others]);
-        let moved = moves(&node.run(600.0));
+        report_loads(&mut node, &[1.3, other_load, other_load, other_load, other_load]);
+        let moved = moved_connections(&node.run(600.0));
         assert!((3..=5).contains(&moved.len()), "{moved:?}");
-        assert!(moved.iter().all(|id| id.0 % 2 == first), "{moved:?} beside {others}");
+        assert!(
+            moved.iter().all(|id| id.0 % 2 == moved_class),
+            "{moved:?} with other backends at {other_load}"
+        );
     }
 }
