--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! The adapter as a process: end of input is a good end, malformed input a plain error with its line number.
+//! The adapter as a process: it exits successfully at the end of input and reports malformed input as an error
+//! with its line number.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -11,14 +12,14 @@
 }
 
 #[test]
-fn end_of_input_is_a_good_end() {
+fn the_adapter_succeeds_at_the_end_of_its_input() {
     let output = run("{\"nowMs\":1.5,\"items\":[]}\n\n{\"nowMs\":2,\"items\":[],\"news\":1}\n");
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout, b"{\"output\":[]}\n{\"output\":[]}\n");
 }
 
 #[test]
-fn malformed_input_ends_with_one_plain_line_and_no_half_reply() {
+fn malformed_input_gives_one_error_line_and_no_partial_reply() {
     let output = run("{\"nowMs\":1,\"items\":[]}\n{\"nowMs\":2,\"items\":[{\"ASK\":{}}]}\n");
     let error = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success());
--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -1,5 +1,6 @@
-//! Connections that stood before the run (`at=`) among many listed hosts: the node passes on the answer of the host that holds
-//! each, whatever else it does as it starts, and whenever the list comes.
+//! Connections that were open before the node started (`at=` names their host), among many listed hosts. The
+//! node must pass on the answer of the host that holds each connection, whatever else it does while it starts
+//! and whenever the list arrives.
 #[path = "common/node.rs"]
 mod node;
 use hopmoor_standin::sockets::{Delivery, Discovery, Listed, Member, Stage};
@@ -8,12 +9,13 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Hosts that really listen; all others of a list are found at one of them.
-const LISTENING: usize = 4;
-/// Clients that come as the node begins to listen.
+/// Number of members that listen; every listed host has the address of one of them.
+const LISTENING_MEMBERS: usize = 4;
+/// Number of clients that connect as soon as the node listens.
 const CLIENTS: usize = 40;
 
-/// A long list: host `h-N` listens where member `N % LISTENING` does, whose receipt is that plus 1.
+/// A long list of hosts. Host `h-N` has the address of member `N % LISTENING_MEMBERS`, whose receipt is that
+/// index plus 1.
 struct LongList {
     stage: Stage,
     members: Vec<Member>,
@@ -23,14 +25,15 @@
 impl LongList {
     fn new(hosts: usize) -> LongList {
         let stage = Stage::new().unwrap();
-        let members = (0..LISTENING).map(|at| Member::start(&stage, at as u32 + 1).unwrap()).collect();
+        let members =
+            (0..LISTENING_MEMBERS).map(|index| Member::start(&stage, index as u32 + 1).unwrap()).collect();
         LongList { stage, members, hosts }
     }
 
     fn entries(&self) -> Vec<(String, Listed)> {
-        let entry = |at: usize| {
-            let dial = self.members[at % LISTENING].address();
-            (format!("h-{at}"), Listed { dial, health: "Ready", born_ms: 0.0 })
+        let entry = |index: usize| {
+            let dial = self.members[index % LISTENING_MEMBERS].address();
+            (format!("h-{index}"), Listed { dial, health: "Ready", born_ms: 0.0 })
         };
         (0..self.hosts).map(entry).collect()
     }
@@ -41,10 +44,10 @@
         discovery
     }
 
-    /// What a node is started with: those of the hosts that `named` picks.
-    fn known(&self, named: impl Fn(usize) -> bool) -> String {
-        let host = |(at, (name, listed)): (usize, (String, Listed))| {
-            named(at).then(|| {
+    /// Returns a list for the setting `known`, with the hosts whose index `includes` accepts.
+    fn known(&self, includes: impl Fn(usize) -> bool) -> String {
+        let host = |(index, (name, listed)): (usize, (String, Listed))| {
+            includes(index).then(|| {
                 format!(
                     r#"{{"host":"{name}","dial":"{}","site":"a","block":0,"health":"Ready","share":1.0,"born_ms":0}}"#,
                     listed.dial
@@ -56,7 +59,7 @@
     }
 }
 
-/// A configuration as the platform gives it to one of 300 nodes.
+/// Returns a configuration like the one that the platform gives each of 300 nodes.
 fn fleet_config(discovery: &str, known: &str) -> String {
     config(discovery)
         .replace(r#"{"seq":0,"whole":true,"hosts":[]}"#, known)
@@ -65,73 +68,84 @@
         .replace(r#""caps":{"#, r#""caps":{"probing":true,"keepaliveMs":5000,"#)
 }
 
-struct Standing {
+/// A client's connection that was open before the node started.
+struct ResumedConnection {
+    /// Index of the host that holds it.
     host: usize,
     client: BufReader<TcpStream>,
 }
 
-/// Opens connections that stood at these hosts.
-fn come_back(node: &Node, hosts: impl Iterator<Item = usize>) -> Vec<Standing> {
+/// Connects one client for each host and resumes a connection that the host holds.
+fn resume_connections(node: &Node, hosts: impl Iterator<Item = usize>) -> Vec<ResumedConnection> {
     hosts
         .map(|host| {
             let mut client = node.connect();
             let line = format!("OPEN id{host} f{host} c=chat,t=acme,d=4294967,at=h-{host}\r\n");
             client.get_mut().write_all(line.as_bytes()).unwrap();
-            Standing { host, client }
+            ResumedConnection { host, client }
         })
         .collect()
 }
 
-/// What became of them within so long: those that did not come up at the host that they named.
-fn astray(standing: &mut [Standing], within: Duration) -> Vec<String> {
-    let until = Instant::now() + within;
-    let mut astray = Vec::new();
-    for Standing { host, client } in standing {
-        let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-        client.get_ref().set_read_timeout(Some(left)).unwrap();
+/// Waits up to `timeout` for the answers and returns a line for each connection that was not resumed at its
+/// host.
+fn not_resumed(connections: &mut [ResumedConnection], timeout: Duration) -> Vec<String> {
+    let deadline = Instant::now() + timeout;
+    let mut failures = Vec::new();
+    for ResumedConnection { host, client } in connections {
+        let remaining = deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+        client.get_ref().set_read_timeout(Some(remaining)).unwrap();
         let mut answer = String::new();
         let read = client.read_line(&mut answer);
-        if answer != format!("UP {}\r\n", *host % LISTENING + 1) {
-            astray.push(format!("h-{host}: {answer:?} {:?}", read.err()));
+        if answer != format!("UP {}\r\n", *host % LISTENING_MEMBERS + 1) {
+            failures.push(format!("h-{host}: {answer:?} {:?}", read.err()));
         }
     }
-    astray
+    failures
 }
 
-fn all_up(standing: &mut [Standing], within: Duration) {
-    let astray = astray(standing, within);
-    assert!(astray.is_empty(), "{} of {}, the first {:?}", astray.len(), standing.len(), &astray[0]);
+fn assert_all_resumed(connections: &mut [ResumedConnection], timeout: Duration) {
+    let failures = not_resumed(connections, timeout);
+    assert!(
+        failures.is_empty(),
+        "{} of {} connections were not resumed, the first: {:?}",
+        failures.len(),
+        connections.len(),
+        &failures[0]
+    );
 }
 
-/// Guards against probes that take the descriptors of clients: where a node asked every listed host at once, none of the
-/// connections from before came up.
+/// Guards against probes that use up the descriptors needed for clients: when a node probed every listed host at
+/// once, none of the earlier connections was resumed.
 #[test]
-fn connections_from_before_come_up_beside_probes_of_many_hosts() {
+fn earlier_connections_are_resumed_while_many_hosts_are_probed() {
     let list = LongList::new(800);
     let discovery = list.discovery();
     let node = launch(&fleet_config(&discovery.address(), &list.known(|_| true)), |_| ());
-    let mut standing = come_back(&node, (0..CLIENTS).map(|at| at * 17));
-    all_up(&mut standing, Duration::from_secs(10));
+    let mut connections = resume_connections(&node, (0..CLIENTS).map(|index| index * 17));
+    assert_all_resumed(&mut connections, Duration::from_secs(10));
 }
 
-/// Guards against a host taken for gone because the list at hand did not name it yet: its connection was placed at another.
+/// Guards against a host taken for gone because the current list did not name it yet: its connection was placed
+/// on another host.
 #[test]
-fn connections_from_before_wait_for_the_list_that_names_their_host() {
+fn earlier_connections_wait_for_the_list_that_names_their_host() {
     let list = LongList::new(200);
     let discovery = list.discovery();
     discovery.deliver(Delivery { begins_after: Duration::from_millis(1_500), ..Delivery::default() });
-    let node = launch(&fleet_config(&discovery.address(), &list.known(|at| at % 2 == 0)), |_| ());
-    let mut standing = come_back(&node, 0..CLIENTS);
-    all_up(&mut standing, Duration::from_secs(15));
+    let node = launch(&fleet_config(&discovery.address(), &list.known(|index| index % 2 == 0)), |_| ());
+    let mut connections = resume_connections(&node, 0..CLIENTS);
+    assert_all_resumed(&mut connections, Duration::from_secs(15));
 }
 
-/// Guards against a list that is begun anew each time because it takes long: while it comes on it is read on.
+/// Guards against a long list that is requested again each time because it takes too long. The node must read on
+/// as long as bytes keep coming.
 #[test]
-fn a_long_list_that_comes_steadily_is_taken() {
+fn a_long_list_that_arrives_steadily_is_applied() {
     let list = LongList::new(3_200);
     let discovery = list.discovery();
     discovery.deliver(Delivery { over: Duration::from_secs(4), ..Delivery::default() });
     let node = launch(&fleet_config(&discovery.address(), &list.known(|_| false)), |_| ());
-    let mut standing = come_back(&node, (0..CLIENTS).map(|at| at * 79));
-    all_up(&mut standing, Duration::from_secs(20));
+    let mut connections = resume_connections(&node, (0..CLIENTS).map(|index| index * 79));
+    assert_all_resumed(&mut connections, Duration::from_secs(20));
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -5,9 +5,9 @@
 mod common;
 use common::fleet::*;
 
-/// Guards against an overload by many nodes at the start. Requests are rare at each node, and each node took its
-/// first one as a measure of the usual rate. With thirty nodes, these first requests and the halves and thirds
-/// that followed from them were far more than a new member can take.
+/// Guards against a burst at the start that overloads new members. Requests are rare at each node, but each node
+/// took its first request for one of its usual rate. The first requests of thirty nodes, with the halves and
+/// thirds that counted after them, were far more than a new member can take.
 #[test]
 fn twenty_or_thirty_nodes_do_not_overload_new_members_in_bursts() {
     for scenario in [SLOW, QUICK, LONG, TWENTY] {
@@ -56,7 +56,7 @@
 /// through the random admission of one cold member after the other until one admitted it. So all of the zone's
 /// traffic went to cold members, while the admission assumed that each got only its even share.
 #[test]
-fn members_of_a_restarted_zone_are_not_overloaded_by_its_restarted_nodes() {
+fn members_of_a_restarted_zone_are_not_overloaded() {
     let scenario = WarmupScenario {
         nodes: 300,
         members: 84,
