--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,5 +1,5 @@
-//! The adapter as a process: it exits successfully at the end of input and reports malformed input as an error
-//! with its line number.
+//! The adapter as a process: it exits successfully at the end of input and reports malformed input as an
+//! error with its line number.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -115,8 +115,8 @@
     );
 }
 
-/// Guards against probes that use up the descriptors needed for clients: when a node probed every listed host at
-/// once, none of the earlier connections was resumed.
+/// Guards against probes that use up the descriptors needed for clients: when a node probed every listed host
+/// at once, none of the earlier connections was resumed.
 #[test]
 fn earlier_connections_are_resumed_while_many_hosts_are_probed() {
     let list = LongList::new(800);
@@ -126,8 +126,8 @@
     assert_all_resumed(&mut connections, Duration::from_secs(10));
 }
 
-/// Guards against a host taken for gone because the current list did not name it yet: its connection was placed
-/// on another host.
+/// Guards against a host taken for gone because the current list did not name it yet: its connection was
+/// placed on another host.
 #[test]
 fn earlier_connections_wait_for_the_list_that_names_their_host() {
     let list = LongList::new(200);
@@ -138,8 +138,8 @@
     assert_all_resumed(&mut connections, Duration::from_secs(15));
 }
 
-/// Guards against a long list that is requested again each time because it takes too long. The node must read on
-/// as long as bytes keep coming.
+/// Guards against a long list that is requested again each time because it takes too long. The node must read
+/// on as long as bytes keep coming.
 #[test]
 fn a_long_list_that_arrives_steadily_is_applied() {
     let list = LongList::new(3_200);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -72,8 +72,8 @@
         returned
     }
 
-    /// Advances the clock to `until` in ticks of 5 ms, fires the timers that fall due and returns the resulting
-    /// actions.
+    /// Advances the clock to `until` in ticks of 5 ms, fires the timers that fall due and returns the
+    /// resulting actions.
     pub fn run(&mut self, until: f64) -> Vec<Action> {
         let mut returned = Vec::new();
         while self.now < until {
--- a/tests/common/node.rs
+++ b/tests/common/node.rs
@@ -26,8 +26,8 @@
     pub stage: Stage,
 }
 
-/// Starts discovery and one member for each receipt, listed as `s-1`, `s-2` and so on. A member answers `OPEN`
-/// with its receipt.
+/// Starts discovery and one member for each receipt, listed as `s-1`, `s-2` and so on. A member answers
+/// `OPEN` with its receipt.
 pub fn site(receipts: &[u32]) -> Site {
     let stage = Stage::new().unwrap();
     let discovery = Discovery::start(&stage).unwrap();
--- a/tests/common/script.rs
+++ b/tests/common/script.rs
@@ -1,5 +1,5 @@
-//! Peers that a test controls step by step: a discovery and members that send bytes, end a connection or reset
-//! it only when the test says so.
+//! Peers that a test controls step by step: a discovery and members that send bytes, end a connection or
+//! reset it only when the test says so.
 #![allow(dead_code)]
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -50,8 +50,8 @@
     assert_eq!(sent, ["3"]);
 }
 
-/// Three hundred clients wait for a member, and up to two thirds disconnect at random moments, some in the very
-/// round in which the member becomes ready. Meanwhile the node is stopped and continued in turns, like a
+/// Three hundred clients wait for a member, and up to two thirds disconnect at random moments, some in the
+/// very round in which the member becomes ready. Meanwhile the node is stopped and continued in turns, like a
 /// process that gets a small share of a core.
 #[test]
 fn a_node_short_of_cpu_sends_no_requests_of_disconnected_clients() {
@@ -174,9 +174,9 @@
 
 // ---- A discovery watch breaks ----
 
-/// Waits for the node's next call to discovery and returns how long that took. Asserts that the call continues
-/// from `since`, that the node has counted at least `min_failures` failures and that it still serves clients by
-/// its last good list.
+/// Waits for the node's next call to discovery and returns how long that took. Asserts that the call
+/// continues from `since`, that the node has counted at least `min_failures` failures and that it still
+/// serves clients by its last good list.
 fn expect_new_call(
     discovery: &mut ScriptedDiscovery,
     node: &Node,
@@ -300,9 +300,9 @@
     assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
 }
 
-/// After SIGHUP the discovery at the new address keeps the node's first call queued for 1.8 s, behind those of
-/// all other nodes. Guards against a node that gave up before its turn and called again, over and over, so that
-/// it learned of no member that started to drain meanwhile.
+/// After SIGHUP the discovery at the new address keeps the node's first call queued for 1.8 s, behind those
+/// of all other nodes. Guards against a node that gave up before its turn and called again, over and over, so
+/// that it learned of no member that started to drain meanwhile.
 #[test]
 fn the_first_call_to_a_new_discovery_address_waits_in_the_queue() {
     let (mut discovery, mut new_discovery, member) =
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -14,8 +14,8 @@
     Request { tenant: TenantId(tenant), ..request(id) }
 }
 
-/// Capacity starts at twice the quota, so at 10 connections. An only tenant gets its forecast and what is left
-/// over, so 10 requests are sent at once. The eleventh is queued and sent as soon as a connection ends.
+/// Capacity starts at twice the quota, so at 10 connections. An only tenant gets its forecast and what is
+/// left over, so 10 requests are sent at once. The eleventh is queued and sent as soon as a connection ends.
 #[test]
 fn requests_over_the_limit_are_queued_until_a_connection_ends() {
     let mut node = Relay::with_backends(settings_with_quotas(&[5.0]), [backend(1), backend(2)]);
@@ -25,9 +25,9 @@
     assert!(matches!(released[..], [Action::Attempt { id: RequestId(10), .. }]));
 }
 
-/// Load hints have a unit of their own, while budgets count connections. Ten connections with the usual hint are
-/// sent at once, whatever its unit. Guards against hints counted as connections: two deployments rejected half
-/// of their requests while their backends were idle.
+/// Load hints have a unit of their own, while budgets count connections. Ten connections with the usual hint
+/// are sent at once, whatever its unit. Guards against hints counted as connections: two deployments rejected
+/// half of their requests while their backends were idle.
 #[test]
 fn load_hints_count_relative_to_the_usual_hint_whatever_their_unit() {
     for unit in [0.001, 1.0, 2.0, 40_000.0] {
@@ -49,8 +49,8 @@
         let load_hint = Some(hints[*id as usize % 4]);
         sent_to(&node.ask(Request { load_hint, ..request(*id) })).is_some()
     });
-    // Each connection's load is its hint over the mean of all hints so far. The last one is sent while the load
-    // is not yet over the budget of 10.
+    // Each connection's load is its hint over the mean of all hints so far. The last one is sent while the
+    // load is not yet over the budget of 10.
     let (mut sum, mut load, mut expected) = (0.0, 0.0, 0);
     while load <= 10.0 {
         let hint = hints[expected % 4];
@@ -65,8 +65,8 @@
     assert!(node.in_flight.len() > expected, "{}", node.in_flight.len());
 }
 
-/// The queue of a tenant that is over its budget is paced, with a wait that grows with the hint. A tenant with
-/// one small connection and large ones is under its limit in number while its load is over its budget.
+/// The queue of a tenant that is over its budget is paced, with a wait that grows with the hint. A tenant
+/// with one small connection and large ones is under its limit in number while its load is over its budget.
 #[test]
 fn queued_requests_wait_longer_the_larger_their_hint() {
     let wait = |hint: f64| {
@@ -81,9 +81,9 @@
         }
         node.now - start
     };
-    // The usual hint is 12, 6.5 and 8.3 as the three arrive. The load S is 1 + 0.15 + 1.44 and the budget B is 2,
-    // so the wait a(S-B) is 200 ms x 0.297 = 59 ms for a load of 1. A hint of 8.33 is a load of 1, one of 16.67
-    // a load of 1.6.
+    // The usual hint is 12, 6.5 and 8.3 as the three arrive. The load S is 1 + 0.15 + 1.44 and the budget B
+    // is 2, so the wait a(S-B) is 200 ms x 0.297 = 59 ms for a load of 1. A hint of 8.33 is a load of 1, one
+    // of 16.67 a load of 1.6.
     assert!((59.0..=65.0).contains(&wait(25.0 / 3.0)), "{}", wait(25.0 / 3.0));
     assert!((95.0..=105.0).contains(&wait(50.0 / 3.0)), "{}", wait(50.0 / 3.0));
 }
@@ -113,8 +113,8 @@
     assert!(node.action_log.iter().any(|(_, a)| matches!(a, Action::Refuse { .. })), "the excess is refused");
 }
 
-/// A tenant's priority is the highest class worth seen in its requests. Of the spare capacity, the forecast of
-/// the tenant with the higher priority is met first.
+/// A tenant's priority is the highest class worth seen in its requests. Of the spare capacity, the forecast
+/// of the tenant with the higher priority is met first.
 #[test]
 fn spare_capacity_is_assigned_by_priority() {
     let worth = |worth| Class { worth, aim_ms: 400.0, ..Class::default() };
@@ -198,8 +198,8 @@
     assert!(node.in_flight.contains_key(&RequestId(10)));
 }
 
-/// A contract's maximum caps the budget, and the rest goes to other tenants. Its guarantee holds also against a
-/// tenant of higher priority.
+/// A contract's maximum caps the budget, and the rest goes to other tenants. Its guarantee holds also against
+/// a tenant of higher priority.
 #[test]
 fn contracts_state_guarantee_maximum_and_priority() {
     let contract = |guarantee, maximum, priority| Some(Contract { guarantee, maximum, priority });
@@ -222,8 +222,8 @@
     assert!((34..=38).contains(&sent(1)), "tenant 1 gets the rest of 40: {}", sent(1));
 }
 
-/// Guards against a new node that claims little capacity because it has few connections yet. The clients of the
-/// previous process all come at once, seconds after the start, and were rejected. A node that took over
+/// Guards against a new node that claims little capacity because it has few connections yet. The clients of
+/// the previous process all come at once, seconds after the start, and were rejected. A node that took over
 /// connections has its clients already and claims only what they need.
 #[test]
 fn a_new_node_claims_its_equal_part_until_its_clients_have_connected() {
@@ -249,8 +249,8 @@
     }
 }
 
-/// Guards against a capacity that is fixed by an incomplete list: a node that started with one known backend of
-/// a hundred admitted a hundred times its part once the others were listed.
+/// Guards against a capacity that is fixed by an incomplete list: a node that started with one known backend
+/// of a hundred admitted a hundred times its part once the others were listed.
 #[test]
 fn the_first_list_of_discovery_sets_the_capacity_whatever_was_known() {
     let mut node = Relay::new(settings_with_quotas(&[5.0]), 1);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,13 +1,13 @@
 //! Slow start over a whole fleet in virtual time: what all nodes together send to members that have just
-//! started, compared with what the settings allow. Allowed are N requests in any span, where N is the multiple
-//! of what a member can take at the slowest warm-up, and 2 x root of N + 2 for chance. A member can take its
-//! even share of the stated rate.
+//! started, compared with what the settings allow. Allowed are N requests in any span, where N is the
+//! multiple of what a member can take at the slowest warm-up, and 2 x root of N + 2 for chance. A member can
+//! take its even share of the stated rate.
 mod common;
 use common::fleet::*;
 
-/// Guards against a burst at the start that overloads new members. Requests are rare at each node, but each node
-/// took its first request for one of its usual rate. The first requests of thirty nodes, with the halves and
-/// thirds that counted after them, were far more than a new member can take.
+/// Guards against a burst at the start that overloads new members. Requests are rare at each node, but each
+/// node took its first request for one of its usual rate. The first requests of thirty nodes, with the halves
+/// and thirds that counted after them, were far more than a new member can take.
 #[test]
 fn twenty_or_thirty_nodes_do_not_overload_new_members_in_bursts() {
     for scenario in [SLOW, QUICK, LONG, TWENTY] {
@@ -53,8 +53,8 @@
 }
 
 /// Guards against incident 1: a zone is lost and its members and nodes restart together. Each request went
-/// through the random admission of one cold member after the other until one admitted it. So all of the zone's
-/// traffic went to cold members, while the admission assumed that each got only its even share.
+/// through the random admission of one cold member after the other until one admitted it. So all of the
+/// zone's traffic went to cold members, while the admission assumed that each got only its even share.
 #[test]
 fn members_of_a_restarted_zone_are_not_overloaded() {
     let scenario = WarmupScenario {
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,5 +1,5 @@
-//! A node that starts while discovery is slow: to which members it may send by the list that it was started with
-//! (`known`) and by answers that arrive late or cut off.
+//! A node that starts while discovery is slow: to which members it may send by the list that it was started
+//! with (`known`) and by answers that arrive late or cut off.
 #[path = "common/node.rs"]
 mod node;
 use hopmoor_standin::sockets::{Member, Stage};
@@ -33,8 +33,8 @@
 }
 
 /// Guards against a node that sends requests by the list it was started with while its first call waits in
-/// discovery's queue. That list may be of any age, and a change counts as told 6 s after discovery had it, also
-/// for a node that has just started.
+/// discovery's queue. That list may be of any age, and a change counts as told 6 s after discovery had it,
+/// also for a node that has just started.
 #[test]
 fn a_new_node_sends_nothing_by_its_known_list_while_its_first_call_is_queued() {
     let stage = Stage::new().unwrap();
@@ -49,8 +49,8 @@
     assert_eq!(answer, "UP 2\r\n");
 }
 
-/// Guards against requests sent by an old list after a newer answer was cut off on its way. Discovery wrote that
-/// the member is gone, and what it writes counts as told.
+/// Guards against requests sent by an old list after a newer answer was cut off on its way. Discovery wrote
+/// that the member is gone, and what it writes counts as told.
 #[test]
 fn nothing_is_sent_by_the_old_list_after_a_newer_answer_was_cut_off() {
     let stage = Stage::new().unwrap();
@@ -80,9 +80,9 @@
     assert_eq!((gone.attempts().0 - before, answer.starts_with("BUSY")), (0, true), "{answer}");
 }
 
-/// Guards against a late answer that counts as current when it arrives, although the list changed while it was
-/// on its way. What discovery has counts as told 6 s later, so nothing may be sent by the old list from 6.75 s
-/// on, whatever else fails then.
+/// Guards against a late answer that counts as current when it arrives, although the list changed while it
+/// was on its way. What discovery has counts as told 6 s later, so nothing may be sent by the old list from
+/// 6.75 s on, whatever else fails then.
 #[test]
 fn a_late_answer_counts_as_old_as_the_call_that_it_answers() {
     let stage = Stage::new().unwrap();
@@ -97,7 +97,8 @@
         let _ = stream.read(&mut [0; 1024]).unwrap();
         stream.write_all(answer(&whole).as_bytes()).unwrap();
         let _ = stream.read(&mut [0; 1024]).unwrap();
-        // The member is gone right after this. The answer, which doesn't say so, comes as late as the node allows.
+        // The member is gone right after this. The answer, which doesn't say so, comes as late as the node
+        // allows.
         called.send(std::time::Instant::now()).unwrap();
         thread::sleep(Duration::from_millis(2_850));
         stream.write_all(answer(r#"{"seq":7,"whole":false,"hosts":[]}"#).as_bytes()).unwrap();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -448,7 +448,7 @@
         sends_to_new
     };
     let counts = [0.0, 3_600_000.0, -3_600_000.0, 5_000.0, -5_000.0].map(sends_with_offset);
-    // The expected number N is 3 x 0.12 to 0.21 x 0.5 a second x 3 s, at most 0.95; allowed are N + 3 x root of
-    // N + 3.
+    // The expected number N is 3 x 0.12 to 0.21 x 0.5 a second x 3 s, at most 0.95; allowed are N + 3 x root
+    // of N + 3.
     assert!(counts.iter().all(|count| *count <= 6), "{counts:?}");
 }
--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -58,13 +58,13 @@
     assert!(moved_connections(&node.run(5_000.0)).is_empty());
 }
 
-/// Incident iae0632: with few connections over many backends, a node gets delay reports of only some backends.
-/// If all of those are in trouble there is a shortage, although the others report nothing.
+/// Incident iae0632: with few connections over many backends, a node gets delay reports of only some
+/// backends. If all of those are in trouble there is a shortage, although the others report nothing.
 #[test]
 fn backends_without_connections_do_not_count_as_healthy() {
     let mut node = Relay::with_backends(settings(), (0..40).map(backend));
     let backends: Vec<BackendId> = (0..10).map(|id| node.open(request(id))).collect();
-    backends.iter().for_each(|backend| report_delay(&mut node, *backend, 300.0));
+    backends.iter().for_each(|used| report_delay(&mut node, *used, 300.0));
     let actions = node.run(600.0);
     assert!(!moved_connections(&actions).is_empty());
     assert!(sent_to(&node.ask(request(50))).is_none(), "the budget is below the open connections");
@@ -113,8 +113,8 @@
     }
 }
 
-/// Capacity is learned from load reports: at half load a node may open as many connections again, and more when
-/// loads fall.
+/// Capacity is learned from load reports: at half load a node may open as many connections again, and more
+/// when loads fall.
 #[test]
 fn capacity_is_learned_from_load_reports() {
     let tenants = vec![Tenant { quota_connections: 4.0, ..Tenant::default() }];
@@ -222,9 +222,9 @@
     }
 }
 
-/// Guards against a limit that was lowered to the open connections because two backends of five were overloaded
-/// for ten seconds, while the others were at a third of their capacity. Clients waited until their deadline and
-/// were refused.
+/// Guards against a limit that was lowered to the open connections because two backends of five were
+/// overloaded for ten seconds, while the others were at a third of their capacity. Clients waited until their
+/// deadline and were refused.
 #[test]
 fn overloaded_backends_do_not_lower_the_limit_while_others_have_room() {
     let mut node =
@@ -271,8 +271,8 @@
     }
 }
 
-/// Guards against a backend that waits too long for its next turn: one that got its last turn while it was full
-/// stayed at a load of 0.07 for twenty seconds.
+/// Guards against a backend that waits too long for its next turn: one that got its last turn while it was
+/// full stayed at a load of 0.07 for twenty seconds.
 #[test]
 fn a_recovered_backend_gets_its_turns_back() {
     let mut node =
@@ -287,8 +287,9 @@
     assert!(turns >= 4, "{turns} of 10 turns after the backend has recovered");
 }
 
-/// Guards against relief that moves the wrong clients: a backend at 1.3 of its capacity answered nothing for six
-/// seconds, and the lightest clients were moved off it while the booking screens, which are worth most, stayed.
+/// Guards against relief that moves the wrong clients: a backend at 1.3 of its capacity answered nothing for
+/// six seconds, and the lightest clients were moved off it while the booking screens, which are worth most,
+/// stayed.
 #[test]
 fn with_room_elsewhere_relief_moves_the_most_valuable_connections() {
     let class = |worth| Class { worth, message_aim_ms: 50.0, ..Class::default() };
