--- a/tests/trouble.rs
+++ b/tests/trouble.rs
@@ -70,7 +70,8 @@
     assert!(sent_to(&node.ask(request(50))).is_none(), "the budget is below the open connections");
 }
 
-/// Slow messages at one backend lower no budget, and no backend is set aside: requests still go out evenly.
+/// Slow messages at one backend are no shortage, and no backend is set aside: once there is budget, requests
+/// still go out evenly.
 #[test]
 fn one_backend_in_trouble_is_no_shortage() {
     let mut node = Relay::with_backends(settings(), (0..10).map(backend));
