--- a/crates/world/examples/agree_figures.rs
+++ b/crates/world/examples/agree_figures.rs
@@ -16,11 +16,12 @@
     let number = |at: usize, usual: u64| args.get(at).copied().unwrap_or(usual);
     let (schedules, first, nodes) = (number(0, 100), number(1, 0), number(2, 12) as usize);
     let (voters, budget) = (number(3, 5) as usize, number(4, 2) as u32);
-    let kinds: Vec<String> = hopmoor_standin::drawn::KINDS.iter().map(|kind| (*kind).to_owned()).collect();
+    let kinds: Vec<String> =
+        hopmoor_standin::random::FAULT_KINDS.iter().map(|kind| (*kind).to_owned()).collect();
     let began = Instant::now();
     let (mut over, mut used, mut idle, mut full) = (0, 0, 0, 0);
     for seed in first..first + schedules {
-        let Ok(schedule) = Schedule::drawn(seed, nodes, SECONDS, &kinds) else { continue };
+        let Ok(schedule) = Schedule::random(seed, nodes, SECONDS, &kinds) else { continue };
         let schedule = Schedule { voters, ..schedule };
         let shown = drains(&schedule, budget);
         used += shown.used;
@@ -28,7 +29,7 @@
         full += u64::from(shown.drained == shown.budget);
         if shown.is_over() {
             over += 1;
-            let short = schedule.shortened(|shorter| drains(shorter, budget).is_over());
+            let short = schedule.minimized(|shorter| drains(shorter, budget).is_over());
             println!("seed {seed}: {shown:?}: {}", serde_json::to_string(&short).unwrap_or_default());
         }
     }
--- a/crates/world/examples/fleet_figures.rs
+++ b/crates/world/examples/fleet_figures.rs
@@ -4,7 +4,7 @@
 //! cargo run --release -p hopmoor-world --example fleet_figures -- crash|heal|rest|memory|drawn|loss [nodes] [seeds] [seconds]
 //! ```
 
-use hopmoor_standin::faults::{Fault, Manner, Schedule, Step, Who};
+use hopmoor_standin::faults::{Fault, LinkCondition, NodeSet, Schedule, Step};
 use hopmoor_world::fleet::{Run, Watch};
 use std::time::Instant;
 
@@ -26,10 +26,10 @@
     let (mut one, mut all) = (Vec::new(), Vec::new());
     for seed in 0..seeds {
         let dies = seed as usize % nodes;
-        let steps = vec![Step { at: 10.0, fault: Fault::Kill { nodes: Who::Only(vec![dies]) } }];
+        let steps = vec![Step { at: 10.0, fault: Fault::Kill { nodes: NodeSet::Only(vec![dies]) } }];
         let watch = Watch { every_ms: EVERY_MS, seeds: 3 };
         let history = Run::new(schedule(nodes, 25.0, seed, steps), watch).play();
-        let (first, last) = history.end_seen(dies, 10.0);
+        let (first, last) = history.end_detection_delays(dies, 10.0);
         one.push(first.unwrap_or(f64::INFINITY));
         all.push(last.unwrap_or(f64::INFINITY));
     }
@@ -51,10 +51,10 @@
         };
         let some: Vec<usize> = (0..part.max(1)).collect();
         let cut = Fault::Link {
-            from: Who::Only(some.clone()),
-            to: Who::But(some),
+            from: NodeSet::Only(some.clone()),
+            to: NodeSet::But(some),
             both: true,
-            how: Manner { cut: true, ..Manner::default() },
+            how: LinkCondition { cut: true, ..LinkCondition::default() },
             seconds: 30.0,
         };
         let mut run = Run::new(schedule(nodes, 120.0, seed, vec![Step { at: 20.0, fault: cut }]), QUIET);
@@ -112,11 +112,11 @@
     for seed in 0..seeds {
         let began = Instant::now();
         let bad: Vec<usize> = (0..nodes).filter(|node| node % 20 == 7).collect();
-        let how = Manner { loss: 0.25, ..Manner::default() };
-        let link = |from: Who, to: Who| Fault::Link { from, to, both: false, how, seconds };
+        let how = LinkCondition { loss: 0.25, ..LinkCondition::default() };
+        let link = |from: NodeSet, to: NodeSet| Fault::Link { from, to, both: false, how, seconds };
         let steps = vec![
-            Step { at: 5.0, fault: link(Who::Only(bad.clone()), Who::All) },
-            Step { at: 5.0, fault: link(Who::All, Who::Only(bad)) },
+            Step { at: 5.0, fault: link(NodeSet::Only(bad.clone()), NodeSet::All) },
+            Step { at: 5.0, fault: link(NodeSet::All, NodeSet::Only(bad)) },
         ];
         let mut run = Run::new(schedule(nodes, seconds, seed, steps), QUIET);
         let (mut wrong, mut at) = (0, 5.0);
@@ -139,8 +139,8 @@
 fn wrong(schedule: &Schedule) -> Option<String> {
     let history = Run::new(schedule.clone(), Watch { every_ms: 200, seeds: 4 }).play();
     let last = schedule.steps.iter().map(Step::until).fold(0.0, f64::max);
-    let (dead, again) = (history.false_deaths(GRACE_S), history.needless_returns(GRACE_S));
-    match history.settled(last) {
+    let (dead, again) = (history.false_deaths(GRACE_S), history.needless_rejoins(GRACE_S));
+    match history.convergence_time(last) {
         _ if !dead.is_empty() => Some(format!("held dead without a reason: {:?}", dead.first())),
         _ if !again.is_empty() => Some(format!("came again without a reason: {:?}", again.first())),
         Some(after) if after <= SETTLES_S => None,
@@ -153,14 +153,15 @@
 const SETTLES_S: f64 = 15.0;
 
 /// Drawn schedules; one that shows something wrong is made short and printed.
-fn drawn(nodes: usize, seeds: u64, first: u64) {
-    let kinds: Vec<String> = hopmoor_standin::drawn::KINDS.iter().map(|kind| (*kind).to_owned()).collect();
+fn random(nodes: usize, seeds: u64, first: u64) {
+    let kinds: Vec<String> =
+        hopmoor_standin::random::FAULT_KINDS.iter().map(|kind| (*kind).to_owned()).collect();
     let mut bad = 0;
     for seed in first..first + seeds {
-        let Ok(schedule) = Schedule::drawn(seed, nodes, 80.0, &kinds) else { continue };
+        let Ok(schedule) = Schedule::random(seed, nodes, 80.0, &kinds) else { continue };
         if let Some(what) = wrong(&schedule) {
             bad += 1;
-            let short = schedule.shortened(|shorter| wrong(shorter).is_some());
+            let short = schedule.minimized(|shorter| wrong(shorter).is_some());
             let shown = wrong(&short).unwrap_or_default();
             println!(
                 "seed {seed}: {what}; {shown} in the short one: {}",
@@ -180,7 +181,7 @@
         Some("heal") => heal(nodes, seeds),
         Some("rest") => rest(nodes),
         Some("memory") => memory(nodes),
-        Some("drawn") => drawn(nodes, seeds, number(3, 0.0) as u64),
+        Some("drawn") => random(nodes, seeds, number(3, 0.0) as u64),
         Some("loss") => loss(nodes, seeds, number(3, 600.0)),
         _ => eprintln!("crash|heal|rest|memory|drawn|loss [nodes] [seeds] [seconds]"),
     }
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -7,8 +7,8 @@
 
 use hopmoor_fleet::{Action, Exchange, Fleet, Id, Millis, NodeInfo, Readiness, State};
 use hopmoor_seal::{KEY_BYTES, Keys};
-use hopmoor_standin::faults::{Fault, Manner, Schedule};
-use hopmoor_standin::history::{Act, History, Seen, Was, What};
+use hopmoor_standin::faults::{Fault, LinkCondition, Schedule};
+use hopmoor_standin::history::{History, NodeEvent, NodeEventKind, Observation, ProcessState};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -97,7 +97,7 @@
     names: HashMap<String, usize>,
     /// Voters' folders, by node.
     disks: HashMap<usize, agree::Disk>,
-    most_drained: usize,
+    max_concurrent_drains: usize,
     most_out: usize,
     drains: u64,
 }
@@ -140,7 +140,7 @@
             keys: keys(&[FIRST_KEY], FIRST_KEY),
             names: (0..schedule.nodes).map(|node| (name(node), node)).collect(),
             disks: HashMap::new(),
-            most_drained: 0,
+            max_concurrent_drains: 0,
             most_out: 0,
             drains: 0,
             watch,
@@ -149,7 +149,7 @@
         for node in 0..run.schedule.nodes {
             // Addresses of nodes that start later are theirs all the same: seeds name them.
             run.processes.push(None);
-            if run.schedule.starts(node) {
+            if run.schedule.runs_initially(node) {
                 run.start(node, node);
             }
         }
@@ -176,9 +176,9 @@
         self.queue.push(Reverse((at.max(self.now), self.set)));
     }
 
-    fn act(&mut self, node: usize, what: What) {
+    fn act(&mut self, node: usize, what: NodeEventKind) {
         let at = self.seconds();
-        self.history.acts.push(Act { at, node, what });
+        self.history.acts.push(NodeEvent { at, node, what });
     }
 
     fn start(&mut self, node: usize, process: usize) {
@@ -217,7 +217,7 @@
         self.processes[process] = Some(started);
         self.at.insert(address, process);
         self.of[node].push(process);
-        self.act(node, What::Started);
+        self.act(node, NodeEventKind::Started);
         self.carry_out(process);
         if agrees {
             self.due(self.now + hopmoor_agree::voter::TICK_MS, Due::Agree(process));
@@ -236,14 +236,14 @@
         self.processes.len().max(self.schedule.nodes)
     }
 
-    fn link(&self, from: usize, to: SocketAddr) -> Option<(usize, Manner)> {
+    fn link(&self, from: usize, to: SocketAddr) -> Option<(usize, LinkCondition)> {
         let to = *self.at.get(&to)?;
         let sender = self.processes.get(from)?.as_ref()?.node;
         let receiver = self.processes.get(to)?.as_ref()?.node;
         Some((to, self.schedule.link(self.seconds(), sender, receiver)))
     }
 
-    fn late(&mut self, manner: &Manner) -> Millis {
+    fn late(&mut self, manner: &LinkCondition) -> Millis {
         let jitter = if manner.jitter_ms > 0.0 { self.rng.random_range(0.0..manner.jitter_ms) } else { 0.0 };
         (WAY_MS + manner.delay_ms + jitter + self.rng.random::<f64>()) as Millis
     }
@@ -355,8 +355,8 @@
     fn step(&mut self, number: usize) {
         let Some(step) = self.schedule.steps.get(number).cloned() else { return };
         let zones = self.schedule.zones;
-        let among = |who: &hopmoor_standin::faults::Who| -> Vec<usize> {
-            (0..self.schedule.nodes).filter(|node| who.has(*node, zones)).collect()
+        let among = |who: &hopmoor_standin::faults::NodeSet| -> Vec<usize> {
+            (0..self.schedule.nodes).filter(|node| who.includes(*node, zones)).collect()
         };
         match step.fault {
             Fault::Start { nodes } => {
@@ -373,7 +373,7 @@
             }
             Fault::Term { nodes } => {
                 for node in among(&nodes) {
-                    self.act(node, What::Told);
+                    self.act(node, NodeEventKind::Told);
                     for process in self.of[node].clone() {
                         if let Some(Some(of)) = self.processes.get_mut(process) {
                             of.fleet.leave(self.now);
@@ -381,7 +381,7 @@
                         self.carry_out(process);
                         self.end(process);
                     }
-                    self.act(node, What::Ended);
+                    self.act(node, NodeEventKind::Ended);
                 }
             }
             Fault::Stop { nodes, seconds } => {
@@ -393,7 +393,7 @@
                         }
                         self.due(at, Due::Continue(process));
                     }
-                    self.act(node, What::Stopped);
+                    self.act(node, NodeEventKind::Stopped);
                 }
             }
             Fault::Link { .. } => {}
@@ -451,7 +451,7 @@
         for process in self.of[node].clone() {
             self.end(process);
         }
-        self.act(node, What::Killed);
+        self.act(node, NodeEventKind::Killed);
     }
 
     fn rotate(&mut self, stage: Stage) {
@@ -486,7 +486,7 @@
             let itself_ready = Some(of.ready == Readiness::Serving && view.superseded_by.is_none());
             let sharing = view.sharing;
             let incarnation = view.id.incarnation;
-            self.history.seen.push(Seen {
+            self.history.seen.push(Observation {
                 at,
                 node,
                 digest,
@@ -533,7 +533,7 @@
                         let _ = of.fleet.datagram(self.now, &bytes);
                     }
                     of.fleet.tick(self.now);
-                    self.act(node, What::Continued);
+                    self.act(node, NodeEventKind::Continued);
                     self.carry_out(process);
                 }
                 Due::Flood { node, until, every, at } => {
@@ -586,8 +586,8 @@
     pub fn wrongly_dead(&self) -> usize {
         let runs = |id: &Id| {
             self.names.get(&*id.name).is_some_and(|node| {
-                let (was, _) = self.history.was(*node, self.seconds());
-                was == Was::Up
+                let (process_state, _) = self.history.process_state(*node, self.seconds());
+                process_state == ProcessState::Up
             })
         };
         let wrong = |process: &Process| {
--- a/crates/world/src/fleet/agree.rs
+++ b/crates/world/src/fleet/agree.rs
@@ -7,7 +7,7 @@
 use hopmoor_fleet::identity::Millis;
 use hopmoor_fleet::{NodeInfo, Readiness};
 use hopmoor_standin::faults::Schedule;
-use hopmoor_standin::history::Was;
+use hopmoor_standin::history::ProcessState;
 use rand::Rng;
 use std::collections::BTreeMap;
 
@@ -54,7 +54,7 @@
         run.disks.remove(&(schedule.seed as usize / 3 % schedule.voters));
     }
     run.until(schedule.seconds);
-    Drains { budget, drained: run.most_drained, out: run.most_out, used: run.drains }
+    Drains { budget, drained: run.max_concurrent_drains, out: run.most_out, used: run.drains }
 }
 
 /// A voter's folder.
@@ -115,10 +115,10 @@
     fn long_dead(&self) -> usize {
         let now = self.seconds();
         let dead = |node: &usize| {
-            let (was, since) = self.history.was(*node, now);
-            was == Was::Down && now - since > LONG_S
+            let (process_state, since) = self.history.process_state(*node, now);
+            process_state == ProcessState::Down && now - since > LONG_S
         };
-        (0..self.schedule.nodes).filter(|node| self.schedule.starts(*node)).filter(dead).count()
+        (0..self.schedule.nodes).filter(|node| self.schedule.runs_initially(*node)).filter(dead).count()
     }
 
     /// A node is told to drain, or to take clients again.
@@ -202,7 +202,7 @@
                     self.drains += 1;
                     let out =
                         self.processes.iter().flatten().filter(|of| of.ready == Readiness::Draining).count();
-                    self.most_drained = self.most_drained.max(out);
+                    self.max_concurrent_drains = self.max_concurrent_drains.max(out);
                     self.most_out = self.most_out.max(out + self.long_dead());
                 }
                 Action::PersistFounders(founders) => self.write(process, Write::PersistFounders(founders)),
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -20,8 +20,8 @@
 use hopmoor::pool::{Member as Listed, PoolList};
 use hopmoor::{ClassId, Millis, Outcome, Phase, Report, Settings, Tenant, TenantId};
 use hopmoor_record::{Header, RealDisk, Retention, Writer};
-use hopmoor_standin::plan::{self, Act, Plan, What};
-use hopmoor_standin::truth::{Change, Kind, Truth};
+use hopmoor_standin::plan::{self, Plan, ScriptAction, ScriptEntry};
+use hopmoor_standin::truth::{Condition, ConditionChange, GroundTruth};
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -31,7 +31,7 @@
 use std::path::{Path, PathBuf};
 
 /// Runs begin at this Unix time, in milliseconds.
-pub const BEGAN: Millis = 1_790_000_000_000.0;
+pub const RUN_START_UNIX_MS: Millis = 1_790_000_000_000.0;
 /// The list tells of a change so much later.
 const LIST_MS: Millis = 200.0;
 /// A dead process stays on the list for so long.
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug)]
 enum Due {
-    Act(usize),
+    ScriptEntry(usize),
     Over(usize),
     Arrive,
     ClientRequest(u64),
@@ -144,14 +144,14 @@
     clients: BTreeMap<u64, Client>,
     next_client: u64,
     rush: f64,
-    truth: Truth,
+    truth: GroundTruth,
 }
 
 /// Plays a plan to its end. The nodes record into `folder/NODE` if one is given.
 ///
 /// # Errors
 /// If the folders can't be made or written to.
-pub fn play(plan: &Plan, folder: Option<&Path>) -> io::Result<Truth> {
+pub fn simulate(plan: &Plan, folder: Option<&Path>) -> io::Result<GroundTruth> {
     let mut site = Site::new(plan.clone(), folder)?;
     site.run();
     Ok(site.truth)
@@ -181,7 +181,7 @@
             settled: settle(&plan),
             folder: folder.map(Path::to_owned),
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
-            now: BEGAN,
+            now: RUN_START_UNIX_MS,
             order: 0,
             heap: BinaryHeap::new(),
             due: HashMap::new(),
@@ -190,7 +190,7 @@
             clients: BTreeMap::new(),
             next_client: 0,
             rush: 1.0,
-            truth: Truth { began: BEGAN, ..Truth::default() },
+            truth: GroundTruth { began: RUN_START_UNIX_MS, ..GroundTruth::default() },
             plan,
         };
         for name in site.plan.nodes.clone() {
@@ -210,21 +210,21 @@
             site.start_node(node)?;
         }
         for (at, act) in site.plan.script.clone().into_iter().enumerate() {
-            site.set(BEGAN + act.at_ms, Due::Act(at));
+            site.set(RUN_START_UNIX_MS + act.at_ms, Due::ScriptEntry(at));
         }
-        site.set(BEGAN, Due::Arrive);
+        site.set(RUN_START_UNIX_MS, Due::Arrive);
         Ok(site)
     }
 
     /// What has really happened so far.
-    pub fn truth(&self) -> &Truth {
+    pub fn truth(&self) -> &GroundTruth {
         &self.truth
     }
 
     fn set(&mut self, at: Millis, due: Due) {
         self.order += 1;
         // Whole microseconds sort as numbers.
-        let at = ((at - BEGAN).max(0.0) * 1_000.0) as u64;
+        let at = ((at - RUN_START_UNIX_MS).max(0.0) * 1_000.0) as u64;
         self.heap.push(Reverse((at, self.order)));
         self.due.insert(self.order, due);
     }
@@ -235,10 +235,12 @@
 
     /// Plays on to the end of the plan.
     pub fn run(&mut self) {
-        let end = BEGAN + self.plan.until_ms;
+        let end = RUN_START_UNIX_MS + self.plan.until_ms;
         loop {
-            let next =
-                self.heap.peek().map_or(f64::INFINITY, |Reverse((at, _))| BEGAN + *at as f64 / 1_000.0);
+            let next = self
+                .heap
+                .peek()
+                .map_or(f64::INFINITY, |Reverse((at, _))| RUN_START_UNIX_MS + *at as f64 / 1_000.0);
             let node = self
                 .nodes
                 .iter()
@@ -272,7 +274,7 @@
 
     fn fall_due(&mut self, due: Due) {
         match due {
-            Due::Act(at) => self.act(at),
+            Due::ScriptEntry(at) => self.act(at),
             Due::Over(at) => self.act_over(at),
             Due::Arrive => self.arrive(),
             Due::ClientRequest(client) => self.ask(client),
--- a/crates/world/src/members.rs
+++ b/crates/world/src/members.rs
@@ -52,11 +52,11 @@
         }
         self.members[which].held = 0;
         let name = self.members[which].name.clone();
-        self.change(name, Kind::Gone, true);
+        self.change(name, Condition::Gone, true);
     }
 
-    pub(crate) fn change(&mut self, subject: String, what: Kind, begins: bool) {
-        let at_ms = self.now - BEGAN;
-        self.truth.changes.push(Change { at_ms, subject, what, begins });
+    pub(crate) fn change(&mut self, subject: String, what: Condition, begins: bool) {
+        let at_ms = self.now - RUN_START_UNIX_MS;
+        self.truth.changes.push(ConditionChange { at_ms, subject, what, begins });
     }
 }
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -31,7 +31,7 @@
         }
         self.nodes[at].broker = Some(broker);
         self.with(at, |broker, _| broker.set_ready());
-        self.change(at_node(&self.nodes[at].name), Kind::Running, true);
+        self.change(at_node(&self.nodes[at].name), Condition::Running, true);
         Ok(())
     }
 
@@ -51,7 +51,7 @@
         for client in clients {
             self.broken(client, 200.0, 1_500.0);
         }
-        self.change(at_node(&self.nodes[at].name), Kind::Running, false);
+        self.change(at_node(&self.nodes[at].name), Condition::Running, false);
     }
 
     pub(crate) fn stop_node(&mut self, at: usize) {
@@ -65,7 +65,7 @@
         (node.broker, node.writer) = (None, None);
         let clients: Vec<u64> = std::mem::take(&mut node.clients).into_values().collect();
         clients.into_iter().for_each(|client| self.broken(client, 62.0, 1_700.0));
-        self.change(at_node(&self.nodes[at].name), Kind::Running, false);
+        self.change(at_node(&self.nodes[at].name), Condition::Running, false);
     }
 
     pub(crate) fn flush(&mut self, at: usize, killed: bool) {
--- a/crates/world/src/script.rs
+++ b/crates/world/src/script.rs
@@ -4,45 +4,45 @@
 
 impl Site {
     pub(crate) fn act(&mut self, at: usize) {
-        let Act { what, .. } = self.plan.script[at].clone();
+        let ScriptEntry { what, .. } = self.plan.script[at].clone();
         match what {
-            What::Silent { member, for_ms } => {
+            ScriptAction::Silent { member, for_ms } => {
                 let Some(which) = self.member(&member) else { return };
                 self.settle_at(which);
                 self.members[which].silent_until = self.now + for_ms;
-                self.change(member, Kind::Silent, true);
+                self.change(member, Condition::Silent, true);
                 self.set(self.now, Due::Silence(which));
                 self.set(self.now + for_ms, Due::Over(at));
             }
-            What::Slow { member, message_ms, for_ms } => {
+            ScriptAction::Slow { member, message_ms, for_ms } => {
                 let Some(which) = self.member(&member) else { return };
                 self.settle_at(which);
                 (self.members[which].slow_until, self.members[which].slow_ms) =
                     (self.now + for_ms, message_ms);
-                self.change(member, Kind::Slow, true);
+                self.change(member, Condition::Slow, true);
                 self.set(self.now + for_ms, Due::Over(at));
             }
-            What::Refusing { member, for_ms } => {
+            ScriptAction::Refusing { member, for_ms } => {
                 let Some(which) = self.member(&member) else { return };
                 self.members[which].refuses_until = self.now + for_ms;
-                self.change(member, Kind::Refusing, true);
+                self.change(member, Condition::Refusing, true);
                 self.set(self.now + for_ms, Due::Over(at));
             }
-            What::Drain { member, for_ms } => {
+            ScriptAction::Drain { member, for_ms } => {
                 let Some(which) = self.member(&member) else { return };
                 self.members[which].draining = true;
                 self.members[which].listed = Phase::Draining;
                 self.relist();
-                self.change(member, Kind::Draining, true);
+                self.change(member, Condition::Draining, true);
                 self.set(self.now + for_ms, Due::Over(at));
             }
-            What::Kill { member } => {
+            ScriptAction::Kill { member } => {
                 let Some(which) = self.member(&member) else { return };
                 self.end_member(which);
                 let start = self.members[which].start;
                 self.set(self.now + DEAD_LISTED_MS, Due::Gone(which, start));
             }
-            What::Start { member } => {
+            ScriptAction::Start { member } => {
                 let Some(which) = self.member(&member) else { return };
                 let now = self.now;
                 let there = &mut self.members[which];
@@ -51,20 +51,20 @@
                 (there.refuses_until, there.slow_until) = (0.0, 0.0);
                 there.start += 1;
                 self.relist();
-                self.change(member.clone(), Kind::Gone, false);
-                self.change(member, Kind::Cold, true);
+                self.change(member.clone(), Condition::Gone, false);
+                self.change(member, Condition::Cold, true);
                 self.set(now + COLD_MS, Due::Over(at));
             }
-            What::Rush { factor, for_ms } => {
+            ScriptAction::Rush { factor, for_ms } => {
                 self.rush = factor;
                 self.set(self.now + for_ms, Due::Over(at));
             }
-            What::KillNode { node } => {
+            ScriptAction::KillNode { node } => {
                 if let Some(node) = self.node(&node) {
                     self.kill_node(node);
                 }
             }
-            What::StartNode { node } => {
+            ScriptAction::StartNode { node } => {
                 if let Some(node) = self.node(&node)
                     && self.nodes[node].broker.is_none()
                 {
@@ -72,53 +72,53 @@
                     let _ = self.start_node(node);
                 }
             }
-            What::EndNode { node } => {
+            ScriptAction::EndNode { node } => {
                 let Some(node) = self.node(&node) else { return };
                 self.nodes[node].leaving = true;
                 self.with(node, |broker, now| broker.leave(now));
                 self.set(self.now + LEAVE_MS + 100.0, Due::Stop(node));
             }
-            What::Deafen { node, for_ms } => {
+            ScriptAction::Deafen { node, for_ms } => {
                 let Some(at) = self.node(&node) else { return };
                 self.nodes[at].deaf_until = self.now + for_ms;
-                self.change(node, Kind::Deaf, true);
+                self.change(node, Condition::Deaf, true);
             }
         }
     }
 
     pub(crate) fn act_over(&mut self, at: usize) {
         match self.plan.script[at].what.clone() {
-            What::Silent { member, .. } => {
+            ScriptAction::Silent { member, .. } => {
                 if let Some(which) = self.member(&member).filter(|which| self.members[*which].up) {
                     // What stood there is served again from now on; before it was not.
                     let until = std::mem::replace(&mut self.members[which].silent_until, f64::INFINITY);
                     self.settle_at(which);
                     self.members[which].silent_until = until;
-                    self.change(member, Kind::Silent, false);
+                    self.change(member, Condition::Silent, false);
                 }
             }
-            What::Slow { member, .. } => {
+            ScriptAction::Slow { member, .. } => {
                 if let Some(which) = self.member(&member).filter(|which| self.members[*which].up) {
                     self.settle_at(which);
-                    self.change(member, Kind::Slow, false);
+                    self.change(member, Condition::Slow, false);
                 }
             }
-            What::Refusing { member, .. } => self.change(member, Kind::Refusing, false),
-            What::Drain { member, .. } => {
+            ScriptAction::Refusing { member, .. } => self.change(member, Condition::Refusing, false),
+            ScriptAction::Drain { member, .. } => {
                 if let Some(which) = self.member(&member) {
-                    self.change(member, Kind::Draining, false);
+                    self.change(member, Condition::Draining, false);
                     self.end_member(which);
                     self.members[which].listed = Phase::Gone;
                     self.relist();
                 }
             }
-            What::Start { member } => self.change(member, Kind::Cold, false),
-            What::Rush { .. } => self.rush = 1.0,
-            What::Kill { .. }
-            | What::KillNode { .. }
-            | What::StartNode { .. }
-            | What::EndNode { .. }
-            | What::Deafen { .. } => {}
+            ScriptAction::Start { member } => self.change(member, Condition::Cold, false),
+            ScriptAction::Rush { .. } => self.rush = 1.0,
+            ScriptAction::Kill { .. }
+            | ScriptAction::KillNode { .. }
+            | ScriptAction::StartNode { .. }
+            | ScriptAction::EndNode { .. }
+            | ScriptAction::Deafen { .. } => {}
         }
     }
 
--- a/crates/world/tests/agree.rs
+++ b/crates/world/tests/agree.rs
@@ -1,17 +1,17 @@
 //! Agreed drains in virtual time, under faults drawn from seeds: the real part of every node, `raft` and the fleet's view.
 //! Thousands of schedules: `cargo run --release -p hopmoor-world --example agree_figures`.
 
-use hopmoor_standin::drawn::KINDS;
 use hopmoor_standin::faults::Schedule;
+use hopmoor_standin::random::FAULT_KINDS;
 use hopmoor_world::fleet::drains;
 
 #[test]
 fn drawn_faults_never_have_more_out_than_the_budget() {
-    let kinds: Vec<String> = KINDS.iter().map(|kind| (*kind).to_owned()).collect();
+    let kinds: Vec<String> = FAULT_KINDS.iter().map(|kind| (*kind).to_owned()).collect();
     let mut used = 0;
     // The later ones once showed a grant to an earlier coming of a node, told late.
     for seed in (0..15).chain([673, 953, 957, 2815, 5105, 5798]) {
-        let schedule = Schedule::drawn(seed, 12, 60.0, &kinds).unwrap();
+        let schedule = Schedule::random(seed, 12, 60.0, &kinds).unwrap();
         let schedule = Schedule { voters: 5, ..schedule };
         let shown = drains(&schedule, 2);
         assert!(!shown.is_over(), "seed {seed}: {shown:?}");
--- a/crates/world/tests/fleet.rs
+++ b/crates/world/tests/fleet.rs
@@ -21,7 +21,7 @@
     let runs: Vec<(f64, f64)> = (0..9)
         .map(|seed| {
             let history = play(30, 20.0, seed, r#"{"at":10,"fault":"kill","nodes":{"only":[7]}}"#);
-            let (one, all) = history.end_seen(7, 10.0);
+            let (one, all) = history.end_detection_delays(7, 10.0);
             (one.unwrap(), all.unwrap())
         })
         .collect();
@@ -33,7 +33,7 @@
 #[test]
 fn thirty_that_join_at_once_through_one_seed_know_each_other() {
     let history = play(30, 15.0, 3, "");
-    assert!(history.settled(0.0).unwrap() < 8.0);
+    assert!(history.convergence_time(0.0).unwrap() < 8.0);
     assert_eq!(history.false_deaths(0.0), []);
 }
 
@@ -47,8 +47,8 @@
     };
     for (seed, some) in [(1, "[0,1,2,3,4]"), (2, "[0,1,2,3,4,5,6,7,8,9,10,11,12,13,14]"), (3, "[29]")] {
         let history = play(30, 60.0, seed, &cut(some));
-        let settled = history.settled(40.0);
-        assert!(settled.is_some_and(|after| after < 8.0), "{some}: {settled:?}");
+        let convergence_time = history.convergence_time(40.0);
+        assert!(convergence_time.is_some_and(|after| after < 8.0), "{some}: {convergence_time:?}");
         // Nobody was held dead by its own half, not even while the halves found each other.
         assert_eq!(history.false_deaths(10.0), []);
     }
@@ -64,14 +64,18 @@
     }
     let history = play(30, 80.0, 5, &steps.join(","));
     assert_eq!(history.false_deaths(0.0), []);
-    assert_eq!(history.needless_returns(0.0), []);
+    assert_eq!(history.needless_rejoins(0.0), []);
 }
 
 #[test]
 fn one_that_was_stopped_for_long_blames_nobody_and_comes_back() {
     let history = play(10, 60.0, 2, r#"{"at":10,"fault":"stop","nodes":{"only":[4]},"seconds":30}"#);
-    assert!(history.settled(40.0).is_some_and(|after| after < 5.0), "{:?}", history.settled(40.0));
-    let blamed = |seen: &&hopmoor_standin::history::Seen| {
+    assert!(
+        history.convergence_time(40.0).is_some_and(|after| after < 5.0),
+        "{:?}",
+        history.convergence_time(40.0)
+    );
+    let blamed = |seen: &&hopmoor_standin::history::Observation| {
         seen.node == 4 && seen.at > 40.0 && seen.states.iter().any(|(_, state)| state == "dead")
     };
     assert_eq!(history.seen.iter().find(blamed), None);
@@ -85,10 +89,10 @@
         1,
         r#"{"at":10,"fault":"term","nodes":{"only":[3]}},{"at":20,"fault":"move","node":5}"#,
     );
-    let (_, all) = history.end_seen(3, 10.0);
+    let (_, all) = history.end_detection_delays(3, 10.0);
     assert!(all.unwrap() < 1.5, "{all:?}");
     assert!(history.seen.iter().all(|seen| seen.states.get(&3).is_none_or(|state| state != "dead")));
-    assert!(history.settled(20.0).is_some_and(|after| after < 6.0));
+    assert!(history.convergence_time(20.0).is_some_and(|after| after < 6.0));
 }
 
 #[test]
@@ -111,7 +115,7 @@
            {"at":12,"fault":"rotate","pause":6}"#,
     );
     assert_eq!(history.false_deaths(0.0), []);
-    assert!(history.settled(50.0).is_some());
+    assert!(history.convergence_time(50.0).is_some());
 }
 
 #[test]
--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -3,7 +3,7 @@
 //! and whenever the list arrives.
 #[path = "common/node.rs"]
 mod node;
-use hopmoor_standin::sockets::{Delivery, Discovery, Listed, Member, Stage};
+use hopmoor_standin::sockets::{Discovery, DiscoveryEntry, Member, ResponseBehavior, StandInRuntime};
 use node::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -17,36 +17,36 @@
 /// A long list of hosts. Host `h-N` has the address of member `N % LISTENING_MEMBERS`, whose receipt is that
 /// index plus 1.
 struct LongList {
-    stage: Stage,
+    runtime: StandInRuntime,
     members: Vec<Member>,
     hosts: usize,
 }
 
 impl LongList {
     fn new(hosts: usize) -> LongList {
-        let stage = Stage::new().unwrap();
+        let runtime = StandInRuntime::new().unwrap();
         let members =
-            (0..LISTENING_MEMBERS).map(|index| Member::start(&stage, index as u32 + 1).unwrap()).collect();
-        LongList { stage, members, hosts }
+            (0..LISTENING_MEMBERS).map(|index| Member::start(&runtime, index as u32 + 1).unwrap()).collect();
+        LongList { runtime, members, hosts }
     }
 
-    fn entries(&self) -> Vec<(String, Listed)> {
+    fn entries(&self) -> Vec<(String, DiscoveryEntry)> {
         let entry = |index: usize| {
             let dial = self.members[index % LISTENING_MEMBERS].address();
-            (format!("h-{index}"), Listed { dial, health: "Ready", born_ms: 0.0 })
+            (format!("h-{index}"), DiscoveryEntry { dial, health: "Ready", born_ms: 0.0 })
         };
         (0..self.hosts).map(entry).collect()
     }
 
     fn discovery(&self) -> Discovery {
-        let discovery = Discovery::start(&self.stage).unwrap();
+        let discovery = Discovery::start(&self.runtime).unwrap();
         discovery.set_all(&self.entries());
         discovery
     }
 
     /// Returns a list for the setting `known`, with the hosts whose index `includes` accepts.
     fn known(&self, includes: impl Fn(usize) -> bool) -> String {
-        let host = |(index, (name, listed)): (usize, (String, Listed))| {
+        let host = |(index, (name, listed)): (usize, (String, DiscoveryEntry))| {
             includes(index).then(|| {
                 format!(
                     r#"{{"host":"{name}","dial":"{}","site":"a","block":0,"health":"Ready","share":1.0,"born_ms":0}}"#,
@@ -132,7 +132,10 @@
 fn earlier_connections_wait_for_the_list_that_names_their_host() {
     let list = LongList::new(200);
     let discovery = list.discovery();
-    discovery.deliver(Delivery { begins_after: Duration::from_millis(1_500), ..Delivery::default() });
+    discovery.set_response_behavior(ResponseBehavior {
+        start_delay: Duration::from_millis(1_500),
+        ..ResponseBehavior::default()
+    });
     let node = launch(&fleet_config(&discovery.address(), &list.known(|index| index % 2 == 0)), |_| ());
     let mut connections = resume_connections(&node, 0..CLIENTS);
     assert_all_resumed(&mut connections, Duration::from_secs(15));
@@ -144,7 +147,10 @@
 fn a_long_list_that_arrives_steadily_is_applied() {
     let list = LongList::new(3_200);
     let discovery = list.discovery();
-    discovery.deliver(Delivery { over: Duration::from_secs(4), ..Delivery::default() });
+    discovery.set_response_behavior(ResponseBehavior {
+        over: Duration::from_secs(4),
+        ..ResponseBehavior::default()
+    });
     let node = launch(&fleet_config(&discovery.address(), &list.known(|_| false)), |_| ());
     let mut connections = resume_connections(&node, (0..CLIENTS).map(|index| index * 79));
     assert_all_resumed(&mut connections, Duration::from_secs(20));
--- a/tests/agree.rs
+++ b/tests/agree.rs
@@ -35,7 +35,7 @@
            {"at":9,"fault":"drain","nodes":{"only":[1]},"on":false},
            {"at":12,"fault":"drain","nodes":{"only":[2]},"on":false}"#,
     );
-    assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
+    assert_eq!(history.max_concurrent_drains().0, 1, "{:?}", history.drained());
     assert_eq!(drained(&history, 6.0, 9.0), [1], "{:?}", history.drained());
     assert_eq!(drained(&history, 9.5, 12.0), [2], "{:?}", history.drained());
     assert_eq!(drained(&history, 13.0, 16.0), NOBODY, "{:?}", history.drained());
@@ -52,7 +52,7 @@
            {"at":12,"fault":"start","nodes":{"only":[0,1]}}"#,
     );
     assert_eq!(drained(&history, 0.0, 12.0), NOBODY, "{:?}", history.drained());
-    assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
+    assert_eq!(history.max_concurrent_drains().0, 1, "{:?}", history.drained());
     assert_eq!(drained(&history, 20.0, 24.0).len(), 1, "{:?}", history.drained());
 }
 
@@ -86,7 +86,7 @@
            {"at":22.2,"fault":"drain","nodes":{"only":[3,4,5]},"on":true},
            {"at":38,"fault":"drain","nodes":"all","on":false}"#,
     );
-    assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
+    assert_eq!(history.max_concurrent_drains().0, 1, "{:?}", history.drained());
     // In the part that is cut off from two of three voters nobody drained; after the heals somebody did.
     assert!(!drained(&history, 7.0, 14.0).contains(&3), "{:?}", history.drained());
     assert!(!drained(&history, 22.2, 30.0).contains(&4), "{:?}", history.drained());
@@ -107,7 +107,7 @@
         steps += &format!(r#",{{"at":{at},"fault":"back"}}"#);
     }
     let history = run(7, 3, 36.0, &steps);
-    assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
+    assert_eq!(history.max_concurrent_drains().0, 1, "{:?}", history.drained());
     // Those that were killed may have lost their turn; the rest had theirs. One whose turn begins just before all are told to
     // take clients again has had it before it could be asked: that happens to one of them, after a killed one is back.
     let had = |node: &usize| history.seen.iter().any(|seen| seen.node == *node && seen.drains);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// A node reduced to its decision module. The test takes the part of clients, backends and discovery.
-pub struct Relay {
+pub struct TestNode {
     pub balancer: Balancer,
     /// Current virtual time in milliseconds.
     pub now: f64,
@@ -28,9 +28,9 @@
     Request { id: RequestId(id), grace_ms: 2_000.0, ..Request::default() }
 }
 
-impl Relay {
+impl TestNode {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Relay {
+        TestNode {
             balancer: Balancer::new(settings, seed),
             now: 0.0,
             timers: Vec::new(),
@@ -41,14 +41,14 @@
     }
 
     pub fn with_backends(settings: Settings, backends: impl IntoIterator<Item = BackendInfo>) -> Self {
-        let mut node = Relay::new(settings, 1);
+        let mut node = TestNode::new(settings, 1);
         let entries = backends.into_iter().collect();
-        node.give(Event::Backends { scope: ListScope::Whole, entries });
+        node.handle_event(Event::Backends { scope: ListScope::Whole, entries });
         node
     }
 
     /// Passes one event to the decision module and returns its actions except timers.
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         let mut returned = Vec::new();
@@ -74,7 +74,7 @@
 
     /// Advances the clock to `until` in ticks of 5 ms, fires the timers that fall due and returns the
     /// resulting actions.
-    pub fn run(&mut self, until: f64) -> Vec<Action> {
+    pub fn run_until(&mut self, until: f64) -> Vec<Action> {
         let mut returned = Vec::new();
         while self.now < until {
             self.now = (self.now + 5.0).min(until);
@@ -82,34 +82,34 @@
             let due: Vec<TimerId> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
             self.timers.retain(|t| t.0 > now);
             for id in due {
-                returned.extend(self.give(Event::Timer(id)));
+                returned.extend(self.handle_event(Event::Timer(id)));
             }
         }
         returned
     }
 
     /// Submits a client's request for a connection.
-    pub fn ask(&mut self, request: Request) -> Vec<Action> {
-        self.give(Event::Request(request))
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        self.handle_event(Event::Request(request))
     }
 
     /// Reports the request's attempt as established.
     pub fn establish(&mut self, id: u64) {
         self.in_flight.remove(&RequestId(id));
-        self.give(Event::Established { id: RequestId(id), took_ms: 20.0 });
+        self.handle_event(Event::Established { id: RequestId(id), took_ms: 20.0 });
     }
 
     /// Ends the attempt that the request has in flight, or its open connection on `backend`.
     pub fn end(&mut self, id: u64, backend: BackendId, outcome: Outcome, closed: bool) -> Vec<Action> {
         let id = RequestId(id);
         let attempt = self.in_flight.remove(&id).map_or(0, |(_, attempt)| attempt);
-        self.give(Event::Ended { id, attempt, backend, outcome, closed, report: None })
+        self.handle_event(Event::Ended { id, attempt, backend, outcome, closed, report: None })
     }
 
     /// Submits a request that must be sent to a backend at once, establishes its connection and returns the
     /// backend.
     pub fn open(&mut self, request: Request) -> BackendId {
-        let actions = self.ask(request);
+        let actions = self.submit(request);
         let backend = sent_to(&actions).unwrap_or_else(|| panic!("no attempt started at once: {actions:?}"));
         self.establish(request.id.0);
         backend
--- a/tests/common/node.rs
+++ b/tests/common/node.rs
@@ -1,6 +1,6 @@
 //! Runs the node as a process between stand-ins for discovery and the pool members.
 #![allow(dead_code)]
-use hopmoor_standin::sockets::{Discovery, Member, Stage};
+use hopmoor_standin::sockets::{Discovery, Member, StandInRuntime};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::path::PathBuf;
@@ -20,24 +20,24 @@
 }
 
 /// A stand-in for discovery and the pool members that it lists.
-pub struct Site {
+pub struct TestPool {
     pub discovery: Discovery,
     pub members: Vec<Member>,
-    pub stage: Stage,
+    pub runtime: StandInRuntime,
 }
 
 /// Starts discovery and one member for each receipt, listed as `s-1`, `s-2` and so on. A member answers
 /// `OPEN` with its receipt.
-pub fn site(receipts: &[u32]) -> Site {
-    let stage = Stage::new().unwrap();
-    let discovery = Discovery::start(&stage).unwrap();
+pub fn pool(receipts: &[u32]) -> TestPool {
+    let runtime = StandInRuntime::new().unwrap();
+    let discovery = Discovery::start(&runtime).unwrap();
     let member = |(index, receipt): (usize, &u32)| {
-        let member = Member::start(&stage, *receipt).unwrap();
+        let member = Member::start(&runtime, *receipt).unwrap();
         discovery.set(&format!("s-{}", index + 1), &member.address(), "Ready");
         member
     };
     let members = receipts.iter().enumerate().map(member).collect();
-    Site { discovery, members, stage }
+    TestPool { discovery, members, runtime }
 }
 
 /// A running node process; killed when dropped.
@@ -59,7 +59,7 @@
     }
 
     /// Waits for the next log line that contains `wanted` and returns it. Earlier lines are discarded.
-    pub fn logs(&self, wanted: &str) -> String {
+    pub fn wait_for_log(&self, wanted: &str) -> String {
         let mut lines = self.log.iter();
         lines
             .find(|line| line.contains(wanted))
@@ -93,9 +93,9 @@
 }
 
 /// Starts a node with discovery and one member whose receipt is 77.
-pub fn start() -> (Node, Site) {
-    let site = site(&[77]);
-    (start_with(&site.discovery.address()), site)
+pub fn start() -> (Node, TestPool) {
+    let pool = pool(&[77]);
+    (start_with(&pool.discovery.address()), pool)
 }
 
 /// Starts a node that uses the discovery at this address.
@@ -104,11 +104,11 @@
 }
 
 /// Starts a node with an operators' listener and returns the node and that listener's address.
-pub fn start_called(discovery: &str) -> (Node, String) {
+pub fn start_with_admin(discovery: &str) -> (Node, String) {
     let node = launch(&config(discovery), |command| {
         command.env("NODE_ADMIN", "127.0.0.1:0");
     });
-    let line = node.logs("operators may call");
+    let line = node.wait_for_log("operators may call");
     (node, format!("127.0.0.1:{}", port(&line)))
 }
 
@@ -154,7 +154,7 @@
 }
 
 /// Polls the condition until it is true; returns false if it is not within `timeout_s` seconds.
-pub fn within(timeout_s: f64, mut condition: impl FnMut() -> bool) -> bool {
+pub fn wait_until(timeout_s: f64, mut condition: impl FnMut() -> bool) -> bool {
     let started = Instant::now();
     while !condition() {
         if started.elapsed().as_secs_f64() > timeout_s {
@@ -166,7 +166,7 @@
 }
 
 /// Writes `line` and returns the line that the peer answers.
-pub fn talk(stream: &mut BufReader<TcpStream>, line: &str) -> String {
+pub fn exchange_line(stream: &mut BufReader<TcpStream>, line: &str) -> String {
     stream.get_mut().write_all(line.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_line(&mut answer).unwrap();
--- a/tests/crossings.rs
+++ b/tests/race_conditions.rs
@@ -18,7 +18,7 @@
 /// Has the node log its counters (SIGUSR1) and returns the value of one.
 fn counter(node: &Node, name: &str) -> u64 {
     node.signal("-USR1");
-    let line = node.logs("when: asked");
+    let line = node.wait_for_log("when: asked");
     let value = line.split_whitespace().find_map(|field| field.strip_prefix(&format!("{name}=")));
     value.unwrap_or_else(|| panic!("no {name} in {line}")).parse().unwrap()
 }
@@ -40,12 +40,12 @@
     quiet.write_all(OPEN.replace("OPEN 1", "OPEN 2").as_bytes()).unwrap();
     drop(quiet);
     assert!(
-        within(5.0, || counter(&node, "asks") == 2 && counter(&node, "left") == 2),
+        wait_until(5.0, || counter(&node, "asks") == 2 && counter(&node, "left") == 2),
         "the node missed a client's disconnect"
     );
     discovery.answer(&list(2, false, &[("s-1", &member.address, "Ready")]));
-    assert_eq!(talk(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 3")), "UP 7\r\n");
-    assert!(within(6.0, || counter(&node, "held") == 0));
+    assert_eq!(exchange_line(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 3")), "UP 7\r\n");
+    assert!(wait_until(6.0, || counter(&node, "held") == 0));
     let sent: Vec<_> = member.requests().into_iter().map(|(id, _)| id).collect();
     assert_eq!(sent, ["3"]);
 }
@@ -65,7 +65,7 @@
             Some(client)
         })
         .collect();
-    assert!(within(10.0, || counter(&node, "held") == 300));
+    assert!(wait_until(10.0, || counter(&node, "held") == 300));
     let mut disconnected_at = vec![None; 300];
     let mut random = 7u64;
     for round in 0..20 {
@@ -87,7 +87,7 @@
         counter(&node, "held");
     }
     let remaining = clients.iter().filter(|client| client.is_some()).count();
-    assert!(within(10.0, || counter(&node, "served") >= remaining as u64));
+    assert!(wait_until(10.0, || counter(&node, "served") >= remaining as u64));
     let delays = member.requests().into_iter().filter_map(|(id, at)| {
         let disconnected_at = disconnected_at[id.parse::<usize>().unwrap()]?;
         at.checked_duration_since(disconnected_at)
@@ -126,7 +126,7 @@
     let mut client = node.connect();
     client.get_mut().write_all(OPEN.replace("d=5000", "d=2000").as_bytes()).unwrap();
     let mut first = None;
-    assert!(within(5.0, || {
+    assert!(wait_until(5.0, || {
         first = (0..2).find_map(|index| Some((index, members[index].accept_waiting()?)));
         first.is_some()
     }));
@@ -188,7 +188,7 @@
     let took = started.elapsed();
     assert!(target.contains(since), "{target}");
     assert!(counter(node, "discovery_failures") >= min_failures);
-    assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
     took
 }
 
@@ -204,7 +204,7 @@
     let hosts = [("s-1", &*member.address, "Terminating"), ("s-2", &*other.address, "Ready")];
     discovery.answer(&list(2, false, &hosts));
     assert!(discovery.next_request().contains("since=2"));
-    assert_eq!(talk(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 2")), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 2")), "UP 7\r\n");
     assert_eq!(other.requests().len(), 1, "the new list applies");
 }
 
@@ -260,9 +260,9 @@
     discovery.answer(&older);
     let target = discovery.next_request();
     assert!(!target.contains("since"), "{target}");
-    assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
     assert_eq!((member.requests().len(), other.requests().len()), (0, 1));
-    assert!(node.logs("version 6 is older than 7").contains("discovery failed"));
+    assert!(node.wait_for_log("version 6 is older than 7").contains("discovery failed"));
     // Given three times in a row, the older version is accepted: discovery has restarted its count.
     discovery.answer(&older);
     discovery.next_request();
@@ -297,7 +297,7 @@
         list(3, true, &[("s-1", &member.address, "Ready")]).replace(',', " ,\r\n\t ").replace('{', "{\n  ");
     discovery.answer(&body);
     assert!(discovery.next_request().contains("since=3"));
-    assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
 }
 
 /// After SIGHUP the discovery at the new address keeps the node's first call queued for 1.8 s, behind those
@@ -312,8 +312,8 @@
     std::fs::write(&node.file, config(&new_discovery.address)).unwrap();
     node.signal("-HUP");
     assert!(!new_discovery.next_request().contains("since"));
-    assert!(!within(1.8, || new_discovery.has_new_connection()), "the node opened a second connection");
+    assert!(!wait_until(1.8, || new_discovery.has_new_connection()), "the node opened a second connection");
     new_discovery.answer(&list(5, true, &[("s-1", &member.address, "Ready")]));
     assert!(new_discovery.next_request().contains("since=5"));
-    assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -2,7 +2,7 @@
 //! with (`known`) and by answers that arrive late or cut off.
 #[path = "common/node.rs"]
 mod node;
-use hopmoor_standin::sockets::{Member, Stage};
+use hopmoor_standin::sockets::{Member, StandInRuntime};
 use node::*;
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -37,14 +37,14 @@
 /// also for a node that has just started.
 #[test]
 fn a_new_node_sends_nothing_by_its_known_list_while_its_first_call_is_queued() {
-    let stage = Stage::new().unwrap();
-    let gone = Member::start(&stage, 1).unwrap();
-    let serving = Member::start(&stage, 2).unwrap();
+    let runtime = StandInRuntime::new().unwrap();
+    let gone = Member::start(&runtime, 1).unwrap();
+    let serving = Member::start(&runtime, 2).unwrap();
     let discovery = slow_discovery(Duration::from_millis(2_400), list(7, "s-serves", &serving.address()));
     let known = list(1, "s-gone", &gone.address());
     let config = config(&discovery).replace(r#"{"seq":0,"whole":true,"hosts":[]}"#, &known);
     let node = launch(&config, |_| ());
-    let answer = talk(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=6000\r\n");
+    let answer = exchange_line(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=6000\r\n");
     assert_eq!(gone.attempts().0, 0, "a request was sent to a member that is gone");
     assert_eq!(answer, "UP 2\r\n");
 }
@@ -53,8 +53,8 @@
 /// that the member is gone, and what it writes counts as told.
 #[test]
 fn nothing_is_sent_by_the_old_list_after_a_newer_answer_was_cut_off() {
-    let stage = Stage::new().unwrap();
-    let gone = Member::start(&stage, 1).unwrap();
+    let runtime = StandInRuntime::new().unwrap();
+    let gone = Member::start(&runtime, 1).unwrap();
     let whole = list(7, "s-gone", &gone.address());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -74,9 +74,9 @@
     });
     let node = launch(&config(&address), |_| ());
     let until = is_written.recv_timeout(Duration::from_secs(10)).unwrap() + Duration::from_millis(800);
-    assert!(within(2.0, || std::time::Instant::now() > until));
+    assert!(wait_until(2.0, || std::time::Instant::now() > until));
     let before = gone.attempts().0;
-    let answer = talk(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
+    let answer = exchange_line(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
     assert_eq!((gone.attempts().0 - before, answer.starts_with("BUSY")), (0, true), "{answer}");
 }
 
@@ -85,8 +85,8 @@
 /// 6.75 s on, whatever else fails then.
 #[test]
 fn a_late_answer_counts_as_old_as_the_call_that_it_answers() {
-    let stage = Stage::new().unwrap();
-    let gone = Member::start(&stage, 1).unwrap();
+    let runtime = StandInRuntime::new().unwrap();
+    let gone = Member::start(&runtime, 1).unwrap();
     let whole = list(7, "s-gone", &gone.address());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -107,8 +107,8 @@
     });
     let node = launch(&config(&address), |_| ());
     let until = is_called.recv_timeout(Duration::from_secs(10)).unwrap() + Duration::from_millis(6_850);
-    assert!(within(10.0, || std::time::Instant::now() > until));
+    assert!(wait_until(10.0, || std::time::Instant::now() > until));
     let before = gone.attempts().0;
-    let answer = talk(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
+    let answer = exchange_line(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
     assert_eq!((gone.attempts().0 - before, answer.starts_with("BUSY")), (0, true), "{answer}");
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -9,7 +9,7 @@
 mod proxy;
 
 use clients::{Counts, Life, Place, STILL_COMING};
-use hopmoor_standin::sockets::{Delivery, Discovery, Listed, Stage};
+use hopmoor_standin::sockets::{Discovery, DiscoveryEntry, ResponseBehavior, StandInRuntime};
 use member::Member;
 use node::*;
 use proxy::Proxy;
@@ -104,7 +104,7 @@
 
 impl Soak {
     /// Discovery and the members run on threads of their own: neither may be late for the other's sake.
-    fn new(seed: u64, stage: &Stage, registry: &Stage) -> Soak {
+    fn new(seed: u64, stage: &StandInRuntime, registry: &StandInRuntime) -> Soak {
         let size = Size::of(seed);
         let discovery = Discovery::start(registry).unwrap();
         let members: Vec<_> = (0..2 * FAULTY).map(|at| Member::start(stage.handle(), at + 1)).collect();
@@ -154,8 +154,8 @@
         if host < FAULTY { host } else { FAULTY + host % FAULTY }
     }
 
-    fn listed(&self, host: usize, health: &'static str) -> Listed {
-        Listed { dial: self.members[self.member_of(host)].address.clone(), health, born_ms: 0.0 }
+    fn listed(&self, host: usize, health: &'static str) -> DiscoveryEntry {
+        DiscoveryEntry { dial: self.members[self.member_of(host)].address.clone(), health, born_ms: 0.0 }
     }
 
     fn start(&mut self, at: usize) {
@@ -252,10 +252,15 @@
             }
             // Discovery is crowded or slow for a while, or quick again; it tells changes, or whole lists.
             7 => {
-                let begins_after = Duration::from_millis([0, 300, 1_200][self.draw.below(3)]);
+                let start_delay = Duration::from_millis([0, 300, 1_200][self.draw.below(3)]);
                 let over = Duration::from_millis([0, 800, 3_000][self.draw.below(3)]);
-                let changes = self.draw.below(4) > 0;
-                self.discovery.deliver(Delivery { begins_after, over, changes, silent: false });
+                let incremental = self.draw.below(4) > 0;
+                self.discovery.set_response_behavior(ResponseBehavior {
+                    start_delay,
+                    over,
+                    incremental,
+                    silent: false,
+                });
             }
             _ => {
                 let back = self.gone.iter().find(|(_, since)| since.elapsed() > Duration::from_secs(11));
@@ -309,7 +314,7 @@
 }
 
 /// By how many milliseconds the members' thread was ever late: what is this machine's doing and not the processes'.
-fn lateness(stage: &Stage) -> Arc<AtomicU64> {
+fn lateness(stage: &StandInRuntime) -> Arc<AtomicU64> {
     const EVERY: Duration = Duration::from_millis(20);
     let worst = Arc::<AtomicU64>::default();
     let noted = worst.clone();
@@ -325,7 +330,7 @@
 }
 
 fn soak(seed: u64, seconds: u64) -> Vec<String> {
-    let (stage, registry) = (Stage::new().unwrap(), Stage::new().unwrap());
+    let (stage, registry) = (StandInRuntime::new().unwrap(), StandInRuntime::new().unwrap());
     let mut soak = Soak::new(seed, &stage, &registry);
     let lateness = lateness(&stage);
     let mut clients = Vec::new();
