--- a/tests/common/node.rs
+++ b/tests/common/node.rs
@@ -52,7 +52,7 @@
 }
 
 impl Node {
-    /// Sends the signal `name`, written as an option of `kill`.
+    /// Sends a signal, given as an option of `kill`, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -291,9 +291,9 @@
     assert!(node.in_flight.contains_key(&RequestId(4)) || answer_times(&node, 4).len() == 1);
 }
 
-/// Under random events from a seeded generator, a request never has two attempts in flight (`TestNode` asserts
-/// it), gets at most one answer, gets it in time, and is not sent after that. The same seed gives the same
-/// actions.
+/// Under random events from a seeded generator, a request never has two attempts in flight (`TestNode`
+/// asserts it), gets at most one answer, gets it in time, and is not sent after that. The same seed gives the
+/// same actions.
 #[test]
 fn random_events_keep_the_rules_and_repeat_exactly() {
     let first_run = random_run(11);
