--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -13,7 +13,8 @@
     for scenario in [SLOW, QUICK, LONG, TWENTY] {
         for surge in [0.0, 5.0, 15.0] {
             for groups in [scenario.groups, 0] {
-                let (excess, mean_connections) = worst_over_seeds(WarmupScenario { surge, groups, ..scenario }, 4);
+                let (excess, mean_connections) =
+                    worst_over_seeds(WarmupScenario { surge, groups, ..scenario }, 4);
                 assert!(excess <= 0.0, "{excess:+.2} requests over the allowance");
                 assert!(mean_connections >= 2.0, "new members stay idle");
             }
@@ -67,8 +68,9 @@
         ..SLOW
     };
     let variants = [(false, 0.0), (true, 0.0), (false, 2.0), (true, 2.0)];
-    let results = variants
-        .map(|(nodes_restarted, surge)| worst_over_seeds(WarmupScenario { nodes_restarted, surge, ..scenario }, 3));
+    let results = variants.map(|(nodes_restarted, surge)| {
+        worst_over_seeds(WarmupScenario { nodes_restarted, surge, ..scenario }, 3)
+    });
     assert!(
         results.iter().all(|(excess, mean_connections)| *excess <= 0.0 && *mean_connections >= 2.0),
         "{results:.2?}"
