--- a/src/logic/budget.rs
+++ b/src/logic/budget.rs
@@ -1,7 +1,7 @@
 //! Demand forecasts, learned capacity and budgets, recomputed once an interval.
 //!
 //! Loads and budgets count connections weighted by their load hints, relative to the usual hint. A "load over
-//! capacity" is a ratio: 1.0 is a backend that is asked for exactly what it can do.
+//! capacity" is a ratio: at 1.0 the load of a backend equals its capacity.
 
 use super::INTERVAL_MS;
 use super::health::{BUSY_LOAD, REPORT_DECAY_MS};
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -16,14 +16,14 @@
 pub(super) const FULL_PAUSE_MS: Millis = 200.0;
 /// Points of the result that probes may cost, per request placed.
 const PROBE_POINTS_PER_REQUEST: f64 = 0.005;
-/// Limit for each request placed where probes cost nothing.
+/// Maximum number of probes per request placed, where probes cost nothing or very little.
 const MAX_PROBES_PER_REQUEST: f64 = 5.0;
 
 impl Balancer {
     /// Notes the message delay at a backend.
     ///
-    /// Delay events come while messages take over a third of the shortest target, which means load near or
-    /// over capacity; over half of it counts as trouble.
+    /// Delay events come while messages take longer than a third of the shortest message target, which means
+    /// load near or over capacity. A delay over half of that target counts as trouble.
     pub(super) fn message_delay(&mut self, now: Millis, backend: BackendId, took_ms: Millis) {
         let late = took_ms / self.settings.shortest_message_aim();
         if let Some(record) = self.backends.get_mut(&backend).filter(|_| late.is_finite()) {
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -25,7 +25,7 @@
 
 /// Factor on a node's equal part of the allowance. It may exceed 1 because part of the allowance is unused:
 /// idle periods, nodes with few requests and backends that no request prefers. With a larger factor all nodes
-/// together exceed a backend's allowance in a span, which tests/ramp.rs and tests/fleet.rs guard.
+/// together exceed a backend's allowance in a span, which tests/ramp.rs and tests/fleet.rs check.
 const ALLOWANCE_FACTOR: f64 = 1.2;
 /// Largest share of a span that one request may bring after an idle period.
 const MAX_EARNED_SPAN_SHARE: f64 = 0.3;
@@ -46,7 +46,7 @@
 pub struct SlowStart {
     /// Affinity keys of the last requests, the newest last.
     keys: VecDeque<u64>,
-    /// When a backend was last chosen.
+    /// When the previous choice of a backend began.
     last_choice: Option<Millis>,
     /// Time that the current request brings, in milliseconds.
     earned_ms: Millis,
--- a/src/state.rs
+++ b/src/state.rs
@@ -12,7 +12,7 @@
 pub const TIMER_DISCOVERY: u64 = 2;
 pub const TIMER_REQUESTS: u64 = 16;
 
-/// Sample count at which the mean load hint stops to average evenly: later hints have the weight 1/200 each.
+/// Sample count up to which the mean load hint is a plain average. Each later hint has a weight of 1/200.
 const MAX_HINT_SAMPLES: f64 = 200.0;
 
 /// One tenant's demand, open connections and budget. Loads are in usual hints: a usual connection has load 1.
@@ -104,7 +104,7 @@
 pub struct Entry {
     pub request: Request,
     pub state: State,
-    /// When a request that still waits here is given up, a few ticks before its deadline.
+    /// When a request that still waits here gets its final answer, a few ticks before its deadline.
     pub give_up_at: Millis,
     /// When its client stops waiting.
     pub deadline: Millis,
@@ -223,7 +223,7 @@
     pub(crate) slow_start: SlowStart,
     pub(crate) list_clock: ListClock,
     pub(crate) last_probed: BackendId,
-    /// Whether the subscription to the backend list works.
+    /// Whether there is a working subscription to the backend list.
     pub(crate) subscribed: bool,
     /// Whether discovery has sent a list, or confirmed the known one.
     pub(crate) discovery_answered: bool,
