--- a/src/broker/delay.rs
+++ b/src/broker/delay.rs
@@ -75,8 +75,8 @@
         self.notify(now, member, reported.map_or(took_ms, |(reported, _)| took_ms.max(reported)))
     }
 
-    /// Returns delays above the threshold (a third of the shortest latency target) at most once per interval,
-    /// and the first delay that is back under it.
+    /// Returns delays above the threshold (a third of the shortest message target) at most once per interval,
+    /// and the first delay that is no longer above it.
     fn notify(&mut self, now: Millis, member: BackendId, took_ms: Millis) -> Option<Millis> {
         if !self.is_enabled() || !took_ms.is_finite() {
             return None;
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -61,7 +61,7 @@
     Up,
     /// The flow ended with this outcome, and with the member's load report if it sent one.
     Ended(Outcome, Option<Report>),
-    /// The member told the client to come again, and has closed the connection.
+    /// The member told the client to reconnect, and has closed the connection.
     MovedByMember,
     /// The client has left.
     Left,
@@ -95,7 +95,7 @@
     Deadline,
     /// The member broke off after it had begun to answer.
     Broken,
-    /// The decision module gave the transaction up.
+    /// The decision module ended the transaction without an answer of a member.
     GivenUp,
     /// The connection could not be adopted by the member that holds it.
     NotAdopted,
@@ -125,7 +125,7 @@
     Reject(Millis),
     /// Final answer: the transaction failed.
     Fail(Failure),
-    /// Tell the client to come again, and close its connection.
+    /// Tell the client to reconnect, and close its connection.
     Move,
 }
 
@@ -229,7 +229,7 @@
         member: String,
         /// How the flow ended.
         outcome: Outcome,
-        /// Time from the start of the attempt, or of the connection, to its end.
+        /// Time from the start of the attempt to the end of its flow.
         took_ms: Millis,
         /// Whether the connection had been established.
         stood: bool,
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -74,14 +74,14 @@
     adoption: Option<Adoption>,
     /// Attempts whose request was written completely.
     attempts: u32,
-    /// Flows that do not count as attempts: those to the former holder of a connection on which no request
-    /// was written.
+    /// Flows that do not count as attempts: flows of an adoption, to the member that held the connection, on
+    /// which the request was not written completely.
     uncounted_flows: u32,
     negotiates: bool,
     /// Output of the member has reached the client, so no other member can take over.
     committed: bool,
-    /// Whether the decision module knows of the transaction. It learns of an adoption only once that
-    /// succeeded, or is placed like a new request.
+    /// Whether the decision module knows of the transaction. It learns of a connection from before the
+    /// process start only once that is adopted, or placed like a new request.
     known_to_module: bool,
     /// The current flow's request is written completely.
     written: bool,
--- a/src/broker/moves.rs
+++ b/src/broker/moves.rs
@@ -19,8 +19,8 @@
             Phase::Draining => DRAIN_MOVE_DURATION_MS,
             Phase::Gone => GONE_MOVE_DURATION_MS,
         };
-        // No new flow goes to this member, so without one now there will be no client to move later. This
-        // avoids a timer per member when thousands are rolled out.
+        // No new flow goes to this member. If it has neither an attempt nor a connection now, there will be
+        // no client to move later. This avoids a timer per member when thousands are rolled out.
         let at_member = |t: &Transaction| t.member == Some(member) && t.stage != Stage::Waiting;
         if self.transactions.values().any(at_member) {
             let schedule = MoveSchedule::new(now, now + duration_ms);
@@ -28,8 +28,7 @@
         }
     }
 
-    /// Moves a client: its connection, or the negotiation so far, is closed cleanly and the client told to
-    /// come again.
+    /// Moves a client: tells it to reconnect, and closes its connection, or the negotiation so far, cleanly.
     pub(super) fn move_client(&mut self, now: Millis, id: TransactionId, reason: MoveReason) {
         let Some(t) = self.forget(id) else { return };
         let Some(backend) = t.member else { return };
@@ -44,7 +43,7 @@
         self.feed(now, Event::Ended { id, attempt, backend, outcome, closed: true, report: None });
     }
 
-    /// Handles a connection that its member has closed after it told the client to come again.
+    /// Handles a connection that its member has closed after it told the client to reconnect.
     pub(super) fn on_moved_by_member(&mut self, now: Millis, id: TransactionId) {
         let Some(t) = self.transactions.get(&id).filter(|t| t.stage == Stage::Established) else { return };
         let (member, stood_ms) = (t.member, Some((now - t.attempt_started_at) as f32));
--- a/src/broker/pool.rs
+++ b/src/broker/pool.rs
@@ -38,6 +38,7 @@
     pub(super) seq: u64,
     /// Older versions received in a row.
     older_in_a_row: u32,
+    /// Discovery has been replaced since the last accepted list, so that no version counts as older.
     numbering_changed: bool,
     members: BTreeMap<BackendId, Member>,
 }
--- a/src/broker/probing.rs
+++ b/src/broker/probing.rs
@@ -16,7 +16,8 @@
 /// Interval between two probe rounds, which ask members that hold connections for their message delay.
 const PROBE_ROUND_INTERVAL_MS: Millis = 1_000.0;
 /// Upper bound of members probed per round. Twice the members of a small site, so that all of them are probed
-/// there, and an eighth of the descriptors that probes may hold in the smallest process.
+/// there, and the number of descriptors that probes may hold in the smallest process, an eighth of its
+/// descriptors.
 const MAX_PROBES_PER_ROUND: usize = 32;
 /// A probe costs a member about as much as setting up a connection: the node's sample is one member per this
 /// number of connections in its share of the quota.
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -23,8 +23,8 @@
 const BASE_DESCRIPTORS: usize = 20;
 /// Lingering closes may hold at most one in this many of the process's descriptors, and so may probes.
 const SHARE_DIVISOR: usize = 8;
-/// Time since a pending client's last activity during which it is not evicted for a probe, so that a client
-/// that has just connected has time for its line to be read.
+/// Time since a pending client's last activity during which it is not evicted for a probe, nor before probes
+/// are, so that a client that has just connected has time for its line to be read.
 const IDLE_GRACE_MS: Millis = 1_000.0;
 /// Received bytes of a first line date a client's last activity this far ahead. A client that keeps writing
 /// is thus kept before a silent one. One that has stopped half way is not kept for long: a client whose line
@@ -195,8 +195,7 @@
         (room, evicted)
     }
 
-    /// Notes that a client has been sent its final response; its connection lingers until the client closes
-    /// it.
+    /// Notes that a client has been sent its final response; its connection lingers until it is closed.
     pub(super) fn linger(&mut self, id: TransactionId) {
         self.forget_pending(id);
         let Some(entry) = self.clients.get_mut(&id) else { return };
--- a/src/net/watch.rs
+++ b/src/net/watch.rs
@@ -16,8 +16,8 @@
 use tokio::time::{Instant, timeout};
 
 /// Time for which discovery may hold a call while it has no change; the first call of a watch is answered at
-/// once. Six seconds after a change at discovery the node counts as having been told of it, whether or not an
-/// answer arrived. The time-outs below let a silent watch be given up, and the next call be answered, within
+/// once. A change counts as known to the node 6 s after discovery had it, whether or not an answer arrived
+/// (see `freshness`). With the time-outs below, a silent watch is abandoned and the next call answered within
 /// these 6 s.
 const LONG_POLL_MS: u64 = 2_000;
 /// Hold time of a call that asks for an immediate answer.
@@ -29,7 +29,8 @@
 /// once this time has passed since its first byte, it has to keep a minimum pace: with a known length, one
 /// that completes it within [`MAX_READ_TIME`]; else [`MIN_BYTES_PER_SECOND`], as it may never end.
 const READ_GRACE: Duration = QUEUED_ANSWER_TIMEOUT;
-/// An answer that pauses for this long may already have been written in full, so its changes count as told.
+/// An answer that pauses for this long may already have been written in full, so its changes count as known
+/// to the node.
 const STALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time in which an answer of known length has to be completed, at its pace so far.
 const MAX_READ_TIME: Duration = Duration::from_secs(20);
@@ -39,9 +40,9 @@
 /// list just read may be outdated.
 const SLOW_READ: Duration = Duration::from_millis(500);
 /// Time-out of the first call of a watch, and of the first at a new address, as then all nodes call at once
-/// and their calls queue at discovery. Discovery serves a call even if its node has given up and calls again:
-/// a hundred nodes kept a discovery busy with such calls for 13 s. So the node waits until discovery itself
-/// drops the call: 2 s in its queue, and some time to answer.
+/// and their calls queue at discovery. Discovery serves a call even if its node has dropped it and calls
+/// again: a hundred nodes kept a discovery busy with such calls for 13 s. So the node waits until discovery
+/// itself drops the call: 2 s in its queue, and some time to answer.
 const QUEUED_ANSWER_TIMEOUT: Duration = Duration::from_millis(2_600);
 /// HTTP status that discovery answers when it is down, and also when a call has queued for too long. Both
 /// come after about 2 s, so they can't be told apart, and are taken as down: a node that took an outage for a
@@ -79,7 +80,8 @@
         let FailedCall { failure, error, retry_now } = error;
         node.with(|broker, now| broker.discovery_call_failed(now, failure));
         if retry_now {
-            // The changes in the lost answer count as told already, so the node calls again without delay.
+            // The changes in the lost answer count as known to the node already, so it calls again without
+            // delay.
             warn!(node.log, "discovery failed"; "error" => error, "again" => "at once");
             node.with(|broker, _| broker.discovery_call_retried());
             continue;
@@ -294,9 +296,9 @@
     }
 }
 
-/// Handles an invalid answer, whose changes count as told. If a watch was established, it is restarted at
-/// once, but only once: if the first call of the new watch fails as well, the decision module decides when to
-/// call again.
+/// Handles an invalid answer, whose changes count as known to the node. If a watch was established, it is
+/// restarted without delay, but only once: if the first call of the new watch fails as well, the decision
+/// module decides when to call again.
 fn invalid_answer(node: &Rc<Node>, began: Instant, error: &str, was_established: bool) -> FailedCall {
     node.with(|broker, now| broker.discovery_answer_invalid(now - milliseconds(began.elapsed())));
     FailedCall { retry_now: was_established, ..FailedCall::unanswered(error) }
