--- a/src/net/session.rs
+++ b/src/net/session.rs
@@ -320,8 +320,8 @@
     TcpStream::connect(address).await
 }
 
-/// Writes the unsent rest for a member as far as its socket takes it at once. A request of which nothing was
-/// written is dropped.
+/// Writes the unsent rest for a member as far as its socket takes it at once. While the first bytes for the
+/// member are not all written, the rest is dropped instead: a request that has not begun must not begin now.
 fn flush_begun_request(flow: &Flow, bytes: &mut Vec<u8>) {
     if let Flow::Open { stream, reported_written: true, .. } = flow
         && !bytes.is_empty()
