--- a/crates/agree/src/permit_client.rs
+++ b/crates/agree/src/permit_client.rs
@@ -29,7 +29,8 @@
 }
 
 impl PermitClient {
-    /// Requests a permit under this new request number, unless a request or a permit is current already.
+    /// Requests a permit under this new request number. Does nothing if a request or a permit is current
+    /// already, or if `MAX_PENDING_RELEASES` releases are unacknowledged.
     pub fn request_permit(&mut self, request: Request) {
         if self.current.is_none() && self.releases.len() < MAX_PENDING_RELEASES {
             self.current = Some(Pending { request, last_answer: None, fence: None });
--- a/crates/agree/src/state.rs
+++ b/crates/agree/src/state.rs
@@ -16,7 +16,7 @@
 const MAX_OPEN_REQUESTS: usize = 4_096;
 /// Nodes in the log; a fleet view has the same limit. Guards against made-up names.
 const MAX_NODES: usize = 4_096;
-/// Budgets: that of the fleet, and those of more zones than are in use.
+/// Most budgets: that of the fleet and one for each of 255 zones, more than are in use.
 const MAX_BUDGETS: usize = 256;
 /// Nodes named in the reason why a request waits, which has to fit in one datagram.
 const MAX_NODES_IN_REASON: usize = 8;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,7 @@
 //! Membership of a fleet: what its nodes know of each other. The crate does no I/O and has no clock and no
 //! source of randomness. Callers feed [`Fleet`] with datagrams, frames, commands and the time, and carry out
-//! what it asks for: datagrams to send, exchanges to start and timers.
+//! what it asks for: datagrams to send, exchanges to start and timers. It reports changes of the view as
+//! events.
 //!
 //! - [`identity`]: names, addresses and incarnations of nodes.
 //! - [`node_info`]: what a node announces about itself, and the latest announcement of each.
@@ -63,8 +64,8 @@
 const SUSPICION_TIMEOUT_MS: u64 = 1_100;
 /// Number of nodes that are asked to probe a node that did not answer.
 const INDIRECT_PROBES: usize = 3;
-/// Number of datagrams that repeat an update: four times the number of digits of 4,096 nodes, as memberlist's
-/// retransmit multiplier has it.
+/// Number of datagrams that carry an update: four times the decimal logarithm of 4,096 nodes, rounded up.
+/// Four is memberlist's retransmit multiplier.
 const MAX_TRANSMISSIONS: u8 = 15;
 /// Period at which queued updates are gossiped, and the number of nodes that get them each time.
 const GOSSIP_PERIOD_MS: u64 = 200;
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -29,7 +29,7 @@
     Fleet,
     /// Reports the drain permits and budgets that the fleet has agreed on.
     Permits,
-    /// Sets how many nodes of a scope may drain at once.
+    /// Sets how many nodes of a scope may be out at once.
     Budget(Scope, BudgetLimit),
 }
 
@@ -100,7 +100,7 @@
     if *allowed == method { Ok(operation.clone()) } else { Err(RequestError::MethodNotAllowed(allowed)) }
 }
 
-/// Path that sets how many nodes may drain at once: `PUT /-/budget?most=2`, `?most=25%25`, `?most=1&zone=a`.
+/// Path that sets how many nodes may be out at once: `PUT /-/budget?most=2`, `?most=25%25`, `?most=1&zone=a`.
 const BUDGET_PATH: &str = "/-/budget";
 /// Maximum length of a zone's name; the same limit as in the operator file.
 const MAX_ZONE_BYTES: usize = 64;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //! protocol's rules, and two fronts. The README describes how the modules fit together; what follows is the
 //! decision module.
 //!
-//! The mechanism is that of King, Song and Dias (IBM RC21881). In each interval a gateway forecasts the load
-//! of every tenant. It budgets capacity to guarantees first, and spare capacity by priority. It limits a
+//! The mechanism is that of King, Song and Dias (IBM RC21881). In each interval a node forecasts the load of
+//! every tenant. It budgets capacity to guarantees first, and spare capacity by priority. It limits a
 //! tenant's connections to its budget divided by the minimum rate of a connection, paces queued connections,
 //! and places admitted ones by weighted round robin. The module does no I/O and has no clock and no threads:
 //! its embedder passes it events and executes its actions.
--- a/src/net/agree.rs
+++ b/src/net/agree.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Logs the notes of the agreement.
+/// Logs the changes of this node's voting status.
 fn log_notes(node: &Node, agree: &Agreement) {
     while let Some(voter_status) = agree.participant.borrow_mut().voter_status() {
         match voter_status {
@@ -160,7 +160,7 @@
     None
 }
 
-/// Executes the queued orders of the agreement, then those of the fleet link.
+/// Executes the queued actions of the agreement, then those of the fleet link.
 async fn execute_orders(
     node: &Rc<Node>,
     link: &Rc<Link>,
@@ -174,8 +174,8 @@
             (Action::Send(to, bytes), _) => link.send_user_message(&to, &bytes),
             (Action::Drain(permit), _) => {
                 let done = node.with(|broker, now| broker.drain(now));
-                // Announced at once: the permit is revoked if a later incarnation of this node is seen as
-                // serving.
+                // Announced at once: if the node rejoined while its announced status was still `serving`, the
+                // later incarnation would be seen as serving, and that ends the permit.
                 super::fleet::announce(node, link);
                 info!(node.log, "draining on a permit"; "permit" => permit, "done" => done);
             }
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -22,8 +22,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::sync::Notify;
 
-/// Maximum number of concurrent exchanges, in both directions together. Further ones are dropped, as nodes
-/// repeat them. Guards against peers that hold descriptors and memory.
+/// Maximum number of concurrent exchanges, in both directions together. Further ones are refused;
+/// nodes start exchanges again later. Guards against peers that hold descriptors and memory.
 const MAX_EXCHANGES: usize = 8;
 /// Descriptors reserved for the link: its two sockets and the exchanges.
 pub(super) const RESERVED_DESCRIPTORS: usize = MAX_EXCHANGES + 2;
@@ -283,7 +283,8 @@
                     log_refused(node, link, from, why);
                 }
             }
-            // On Linux the ICMP error for an earlier datagram to a closed port is reported by the next call.
+            // On Linux the ICMP error for an earlier datagram to a closed port is reported by the next call,
+            // and says nothing about that call.
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
             Err(_) => return,
         }
@@ -291,7 +292,7 @@
 }
 
 /// Logs a refused message, at most one per [`REFUSED_LOG_INTERVAL_MS`], with the number refused since the
-/// line before. Guards against floods that fill the log.
+/// previous line. Guards against floods that fill the log.
 fn log_refused(node: &Node, link: &Link, from: SocketAddr, why: Refused) {
     let (last, held) = link.refused.get();
     let now = node.clock.now();
--- a/src/net/probe.rs
+++ b/src/net/probe.rs
@@ -36,7 +36,7 @@
 }
 
 /// Probes one member until no probe has been requested for the keep-alive time. The descriptor budget may
-/// abort it at any await point; it then releases the descriptor and the entry of this task itself.
+/// abort this task at any await point; the code that does so releases the descriptor and removes the entry.
 async fn run(node: Rc<Node>, member: BackendId, mut requests: mpsc::Receiver<SocketAddr>) {
     let mut connection = None;
     while let Ok(Some(address)) = tokio::time::timeout(node.keepalive, requests.recv()).await {
--- a/src/net/recorder.rs
+++ b/src/net/recorder.rs
@@ -89,7 +89,7 @@
         Ok(Recorder { queue, spare_buffers, done, missed, lost })
     }
 
-    /// Queues a batch; if the queue is full or closed, drops it and counters_due its records.
+    /// Queues a batch; if the queue is full or closed, drops it and counts its records.
     fn enqueue(&self, batch: Batch) {
         let Some(queue) = self.queue.take() else { return };
         let sent = queue.try_send(batch);
@@ -102,7 +102,8 @@
     }
 }
 
-/// Passes records to the writer at each interval, until the node ends.
+/// Passes collected records to the writer at each interval, and the counters once a second, until the node
+/// ends.
 pub(super) async fn flush_periodically(node: Rc<Node>) {
     let mut interval = 0u32;
     loop {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator file. It configures either the XMPP front with an inventory, or the platform's front by
 //! naming a configuration file of the platform's form. For both it sets what the platform's configuration
-//! can't: records and fleet.
+//! can't: records, fleet and the address for operators.
 
 use crate::api::{Class, ListedWeight, Millis, Settings, Tenant};
 use crate::config::{self, Config, ConfigError, Fleet, Records, Site, address};
