--- a/crates/agree/src/entry.rs
+++ b/crates/agree/src/entry.rs
@@ -96,7 +96,7 @@
 pub enum Entry {
     /// An operator sets a budget.
     Budget(Scope, BudgetLimit),
-    /// Nodes whose status in the leader's view differs from that in the log.
+    /// Nodes whose zone, incarnation or status in the leader's view differs from the log.
     Seen(Vec<SeenNode>),
     /// A node requests a permit to drain.
     Ask {
--- a/crates/agree/src/participant.rs
+++ b/crates/agree/src/participant.rs
@@ -93,7 +93,7 @@
     pub fn folder_opened(&mut self, stored: Option<(Vec<u8>, PersistedState)>) {
         match stored {
             Some((bytes, persisted)) => match postcard::from_bytes::<(String, Founders)>(&bytes) {
-                // With copies of one folder, two voters would cast the same vote twice.
+                // Two nodes with copies of one folder would cast one voter's vote twice.
                 Ok((owner, _)) if owner != self.me => self.stop(&format!("the folder is {owner}'s")),
                 Ok((_, founders)) => self.start_voting(founders, persisted),
                 Err(_) => self.stop("the folder does not say who founded the log"),
@@ -134,8 +134,7 @@
         }
     }
 
-    /// Requests a permit to drain under this new request number, unless a request or a permit is current
-    /// already.
+    /// Requests a permit to drain under this new request number, as [`PermitClient::request_permit`] does.
     pub fn request_permit(&mut self, request: Request) {
         self.permit_client.request_permit(request);
     }
--- a/crates/agree/src/voter.rs
+++ b/crates/agree/src/voter.rs
@@ -260,8 +260,8 @@
         Ok(())
     }
 
-    /// Returns the next messages and write. `None` if there are none, or until [`Voter::write_done`] is
-    /// called for the ones before.
+    /// Returns the next messages and write; `None` if there are none, or while a write is in progress, which
+    /// lasts until [`Voter::write_done`] is called.
     ///
     /// # Errors
     /// If an entry can't be encoded, stored or applied. The voter must stop.
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -157,7 +157,7 @@
     Ok(node_info::digest(contents.iter().map(Vec::as_slice)))
 }
 
-/// Starts the link, once the port can be bound if `ports` is `None`.
+/// Starts the link. If `ports` is `None`, it first waits until the port can be bound.
 pub(super) fn spawn(
     node: &Rc<Node>,
     config: &config::Fleet,
@@ -411,8 +411,8 @@
 }
 
 /// Handles the start of shutdown. In an upgrade (`listener_passed`) the link is closed without a leave
-/// message: the new process takes over port and name, so the node stays in the fleet. Otherwise the new
-/// status is announced.
+/// message: the new process takes over port and name, so the node stays in the fleet. Otherwise the link
+/// goes on, and its next periodic check announces the new status.
 pub(super) fn begin_shutdown(node: &Rc<Node>, listener_passed: bool) {
     if listener_passed {
         if let Some(link) = node.fleet.borrow_mut().take() {
