--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -9,6 +9,7 @@
 use script::{Member, RecordingMember, ScriptedDiscovery, list};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -176,7 +177,8 @@
 
 /// Waits for the node's next call to discovery and returns how long that took. Asserts that the call
 /// continues from `since`, that the node has counted at least `min_failures` failures and that it still
-/// serves clients by its last good list.
+/// serves clients by its last good list. The client's id differs at each call: the node may not yet have
+/// noticed that the previous client has disconnected, and refuses an id that is still open.
 fn expect_new_call(
     discovery: &mut ScriptedDiscovery,
     node: &Node,
@@ -188,7 +190,10 @@
     let took = started.elapsed();
     assert!(target.contains(since), "{target}");
     assert!(counter(node, "discovery_failures") >= min_failures);
-    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
+    static CALLS: AtomicU64 = AtomicU64::new(0);
+    let id = format!("call{}", CALLS.fetch_add(1, Ordering::Relaxed));
+    let open = OPEN.replace("OPEN 1", &format!("OPEN {id}"));
+    assert_eq!(exchange_line(&mut node.connect(), &open), "UP 7\r\n");
     took
 }
 
