--- a/crates/rig/src/bin/hopmoor-rig.rs
+++ b/crates/rig/src/bin/hopmoor-rig.rs
@@ -1,4 +1,5 @@
-//! The process rig's command line: plays schedules on real processes, judges and draws their histories.
+//! Command line of the process rig: plays schedules of faults on real processes, then judges and draws the
+//! histories that it recorded.
 
 use clap::{Parser, Subcommand};
 use hopmoor_rig::{Options, play};
@@ -65,7 +66,7 @@
     output: Option<PathBuf>,
 }
 
-fn read(path: &Path) -> Result<History, String> {
+fn read_history(path: &Path) -> Result<History, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
@@ -78,9 +79,10 @@
             Schedule::read(&text).map_err(|error| format!("{}: {error}", file.display()))?
         }
         (None, Some(seed)) => Schedule::random(seed, run.nodes, run.seconds, &run.faults)?,
-        (None, None) => return Err("neither a schedule nor --seed".into()),
+        (None, None) => return Err("no schedule: give a schedule file or --seed".into()),
     };
-    let mut options = Options { every: Duration::from_millis(run.every_ms.max(10)), ..Options::default() };
+    let mut options =
+        Options { sample_interval: Duration::from_millis(run.every_ms.max(10)), ..Options::default() };
     if let Some(program) = run.program {
         options.program = program;
     }
@@ -94,27 +96,28 @@
     Ok(judge(&history))
 }
 
-/// Prints what a history shows; fails on a node that was held dead, or came again, without a reason.
+/// Prints the summary of a history. Returns a failure if a running node was declared dead, or rejoined,
+/// without a fault that explains it.
 fn judge(history: &History) -> ExitCode {
     print!("{}", history.summary());
-    let good = history.false_deaths(GRACE_S).is_empty() && history.needless_rejoins(GRACE_S).is_empty();
-    if good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    let sound = history.false_deaths(GRACE_S).is_empty() && history.needless_rejoins(GRACE_S).is_empty();
+    if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// After a fault's end its traces may be seen for so long.
+/// How long after the end of a fault its effects are still attributed to it, in seconds.
 const GRACE_S: f64 = 10.0;
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Run(args) => run(args),
-        Command::Judge { history } => read(&history).map(|history| judge(&history)),
-        Command::Plot { history, output } => read(&history).and_then(|history| {
+        Command::Judge { history } => read_history(&history).map(|history| judge(&history)),
+        Command::Plot { history, output } => read_history(&history).and_then(|history| {
             let page = hopmoor_rig::plot::page(&history);
             std::fs::write(&output, page).map_err(|error| format!("{}: {error}", output.display()))?;
             Ok(ExitCode::SUCCESS)
         }),
     };
-    done.unwrap_or_else(|message| {
+    result.unwrap_or_else(|message| {
         eprintln!("hopmoor-rig: {message}");
         ExitCode::FAILURE
     })
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,11 +1,16 @@
-//! The process rig: many real `hopmoor` processes on loopback, between relays that break what goes from one to another.
+//! The process rig: runs many real `hopmoor` processes on loopback, connected through relays that inject
+//! faults into the traffic between them.
 //!
-//! - [`relay`]: one place a process, where the others reach it; it knows who sends, and treats that by the schedule.
-//! - [`process`]: a node's process: its files, its start, its signals, what it tells of its addresses.
-//! - [`mod@play`]: plays a schedule, samples what every node says of the fleet, and writes one history.
+//! - [`relay`]: the relay in front of each process, which the other nodes connect to. It identifies the
+//!   sending node by its source address and applies the link condition that the schedule has for that link.
+//! - [`process`]: starts a node's process with its files, sends it signals, and reads its addresses from its
+//!   log.
+//! - [`mod@play`]: plays a schedule, samples every node's view of the fleet, and records one history.
+//! - [`plot`]: draws a history as an HTML page.
 //!
-//! Schedules, histories and their judges are `hopmoor_standin`'s, the same as in virtual time. Every process is ended by
-//! its id when its handle is dropped, also when a test panics.
+//! The schedules, the histories and the functions that judge them are those of `hopmoor_standin`, which the
+//! simulation in virtual time uses too. Each process is killed by its process id when its handle is dropped,
+//! also when a test panics.
 
 pub mod play;
 pub mod plot;
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! A node's process: its files, its start, its signals, what it tells of its addresses.
+//! Starts a node's process with its files, sends it signals, and reads its addresses from its log.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -12,56 +12,56 @@
 use tokio::process::{Child, Command};
 use tokio::sync::mpsc;
 
-/// A process that has not told its addresses by then has not started.
-const STARTS: Duration = Duration::from_secs(20);
-/// A call that is not answered by then finds nobody.
-const CALL: Duration = Duration::from_millis(1_500);
+/// How long a process may take to log its addresses when it starts, and to exit after SIGTERM.
+const START_OR_EXIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a call of the admin address may take.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How a process is started.
+/// Parameters of a process to start.
 #[derive(Clone, Debug)]
-pub struct Start {
-    /// The program.
+pub struct ProcessOptions {
+    /// Path of the `hopmoor` program.
     pub program: PathBuf,
-    /// A folder of the process's own.
+    /// Folder for the process's configuration and log; no other process uses it.
     pub folder: PathBuf,
-    /// The node's name.
+    /// Name of the node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Where discovery answers.
+    /// URL of the discovery service.
     pub discovery: String,
-    /// Where its fleet port is bound; the system picks the port.
+    /// Address to listen on for the fleet; with port 0 the system picks the port.
     pub fleet: SocketAddr,
-    /// Where the others reach that.
+    /// Address at which the other nodes reach the fleet port, which is the relay's.
     pub advertise: SocketAddr,
-    /// Where others may be found.
+    /// Fleet addresses of seed nodes.
     pub seeds: Vec<SocketAddr>,
-    /// The file of keys.
+    /// Path of the key file.
     pub keys: PathBuf,
-    /// Who votes on drains; none: nobody is asked.
+    /// Names of the voters on drains. If empty, the node drains without a vote.
     pub voters: Vec<String>,
-    /// Where it keeps its log and vote.
+    /// Folder for the node's Raft log and vote.
     pub votes: PathBuf,
 }
 
-/// A process that runs; it is killed when this is dropped.
+/// A running process, which is killed when this is dropped.
 pub struct Process {
     child: Child,
     id: Pid,
-    /// Where operators call it.
+    /// Address of the operators' interface.
     pub admin: SocketAddr,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub clients: SocketAddr,
-    /// Where its fleet port is.
+    /// Address on which it listens for the fleet.
     pub fleet: SocketAddr,
-    /// Where the others reach that.
+    /// Address at which the other nodes reach its fleet port, which is the relay's.
     pub advertise: SocketAddr,
     log: PathBuf,
 }
 
-fn config(start: &Start) -> Value {
+fn node_config(options: &ProcessOptions) -> Value {
     json!({
-        "name": start.name, "listen": "127.0.0.1:0", "discovery": start.discovery, "seed": "8c1f",
+        "name": options.name, "listen": "127.0.0.1:0", "discovery": options.discovery, "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "known": {"seq": 0, "whole": true, "hosts": []},
         "settings": {"profiles": [{"name": "chat", "effect": "free"}], "tenants": [{"name": "acme"}],
@@ -70,30 +70,31 @@
 }
 
 impl Process {
-    /// Starts a process and waits until it has told its addresses.
+    /// Starts a process and waits until it has logged its addresses.
     ///
     /// # Errors
-    /// If it can't be started, or ends or says nothing.
-    pub async fn start(start: &Start) -> io::Result<Process> {
-        std::fs::create_dir_all(&start.folder)?;
+    /// If the process can't be started, if it ends before it has logged its addresses, or if it does not log
+    /// them within 20 s.
+    pub async fn start(options: &ProcessOptions) -> io::Result<Process> {
+        std::fs::create_dir_all(&options.folder)?;
         let mut operator = json!({
             "config": "node.json", "admin": "127.0.0.1:0",
-            "fleet": {"listen": start.fleet.to_string(), "advertise": start.advertise.to_string(),
-                "seeds": start.seeds.iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
-                "keys": start.keys, "zone": start.zone},
+            "fleet": {"listen": options.fleet.to_string(), "advertise": options.advertise.to_string(),
+                "seeds": options.seeds.iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
+                "keys": options.keys, "zone": options.zone},
         });
-        if !start.voters.is_empty() {
-            operator["fleet"]["agree"] = json!({"voters": start.voters, "folder": start.votes});
+        if !options.voters.is_empty() {
+            operator["fleet"]["agree"] = json!({"voters": options.voters, "folder": options.votes});
         }
-        std::fs::write(start.folder.join("node.json"), config(start).to_string())?;
-        std::fs::write(start.folder.join("operator.json"), operator.to_string())?;
-        let mut command = Command::new(&start.program);
+        std::fs::write(options.folder.join("node.json"), node_config(options).to_string())?;
+        std::fs::write(options.folder.join("operator.json"), operator.to_string())?;
+        let mut command = Command::new(&options.program);
         for name in ["NODE_CONFIG", "NODE_ADMIN", "NODE_PASSED_SOCKET", "HOPMOOR_LOG_FORMAT"] {
             command.env_remove(name);
         }
         command
             .args(["serve", "--log-format", "json", "--operator"])
-            .arg(start.folder.join("operator.json"))
+            .arg(options.folder.join("operator.json"))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
@@ -101,42 +102,45 @@
         let mut child = command.spawn()?;
         let id = child.id().and_then(|id| Pid::from_raw(id as i32)).ok_or(io::ErrorKind::NotFound)?;
         let stderr = child.stderr.take().ok_or(io::ErrorKind::NotFound)?;
-        let (tell, mut told) = mpsc::unbounded_channel();
-        let log = start.folder.join("log");
+        let (report_tx, mut report_rx) = mpsc::unbounded_channel();
+        let log = options.folder.join("log");
         let file = log.clone();
         tokio::task::spawn_local(async move {
             let mut lines = BufReader::new(stderr).lines();
-            let mut kept = std::fs::OpenOptions::new().create(true).append(true).open(file).ok();
+            let mut log_file = std::fs::OpenOptions::new().create(true).append(true).open(file).ok();
             while let Ok(Some(line)) = lines.next_line().await {
                 use std::io::Write as _;
-                if let Some(kept) = &mut kept {
-                    let _ = writeln!(kept, "{line}");
+                if let Some(log_file) = &mut log_file {
+                    let _ = writeln!(log_file, "{line}");
                 }
                 let Ok(line) = serde_json::from_str::<Value>(&line) else { continue };
-                if let (Some(what), Some(at)) = (line["msg"].as_str(), line["address"].as_str())
-                    && let Ok(at) = at.parse::<SocketAddr>()
+                if let (Some(message), Some(address)) = (line["msg"].as_str(), line["address"].as_str())
+                    && let Ok(address) = address.parse::<SocketAddr>()
                 {
-                    let _ = tell.send((what.to_owned(), at));
+                    let _ = report_tx.send((message.to_owned(), address));
                 }
             }
         });
         let (mut clients, mut admin, mut fleet) = (None, None, None);
-        let all = async {
+        let wait_for_addresses = async {
             while clients.is_none() || admin.is_none() || fleet.is_none() {
-                let Some((what, at)) = told.recv().await else {
+                let Some((message, address)) = report_rx.recv().await else {
                     let log = std::fs::read_to_string(&log).unwrap_or_default();
-                    return Err(io::Error::other(format!("{} ended at its start: {log}", start.name)));
+                    return Err(io::Error::other(format!(
+                        "{} ended before it logged its addresses: {log}",
+                        options.name
+                    )));
                 };
-                match what.as_str() {
-                    "listening" => clients = Some(at),
-                    "operators may call" => admin = Some(at),
-                    "in a fleet" => fleet = Some(at),
+                match message.as_str() {
+                    "listening" => clients = Some(address),
+                    "operators may call" => admin = Some(address),
+                    "in a fleet" => fleet = Some(address),
                     _ => {}
                 }
             }
             Ok(())
         };
-        tokio::time::timeout(STARTS, all).await??;
+        tokio::time::timeout(START_OR_EXIT_TIMEOUT, wait_for_addresses).await??;
         let missing = || io::Error::from(io::ErrorKind::NotFound);
         Ok(Process {
             child,
@@ -144,68 +148,69 @@
             admin: admin.ok_or_else(missing)?,
             clients: clients.ok_or_else(missing)?,
             fleet: fleet.ok_or_else(missing)?,
-            advertise: start.advertise,
+            advertise: options.advertise,
             log,
         })
     }
 
-    /// Its process's id.
+    /// Returns the process id.
     pub fn id(&self) -> i32 {
         self.id.as_raw_nonzero().get()
     }
 
-    /// What it has logged so far.
+    /// Returns what the process has logged so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    /// Returns whether the process still runs.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     pub fn signal(&self, signal: Signal) {
         let _ = kill_process(self.id, signal);
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has ended.
     pub async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 
-    /// Tells it to end, and waits for that.
+    /// Sends SIGTERM and waits until the process has ended; kills it if it still runs after 20 s.
     pub async fn term(mut self) {
         self.signal(Signal::TERM);
-        if tokio::time::timeout(STARTS, self.child.wait()).await.is_err() {
+        if tokio::time::timeout(START_OR_EXIT_TIMEOUT, self.child.wait()).await.is_err() {
             let _ = self.child.kill().await;
         }
     }
 }
 
-/// Calls a node's operators' place: the status and the body.
+/// Sends an HTTP request to a node's admin address and returns the status and the body of the response.
 ///
 /// # Errors
-/// If nobody answers in time, or not in HTTP.
-pub async fn call(admin: SocketAddr, method: &str, place: &str) -> io::Result<(u16, String)> {
-    let asked = async {
+/// If the node does not answer within 1.5 s, or its answer is not HTTP.
+pub async fn call_admin(admin: SocketAddr, method: &str, path: &str) -> io::Result<(u16, String)> {
+    let request = async {
         let mut stream = TcpStream::connect(admin).await?;
-        stream.write_all(format!("{method} {place} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).await?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await?;
-        let bad = || io::Error::from(io::ErrorKind::InvalidData);
-        let (head, body) = answer.split_once("\r\n\r\n").ok_or_else(bad)?;
-        let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(bad)?;
+        stream.write_all(format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).await?;
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await?;
+        let invalid = || io::Error::from(io::ErrorKind::InvalidData);
+        let (head, body) = response.split_once("\r\n\r\n").ok_or_else(invalid)?;
+        let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(invalid)?;
         Ok((status, body.to_owned()))
     };
-    tokio::time::timeout(CALL, asked).await?
+    tokio::time::timeout(CALL_TIMEOUT, request).await?
 }
 
-/// The program that stands beside this one, or that `HOPMOOR` names.
+/// Returns the path of the `hopmoor` program: the value of the environment variable `HOPMOOR`, or else the
+/// program in the folder of the current executable.
 pub fn program() -> PathBuf {
-    if let Some(named) = std::env::var_os("HOPMOOR") {
-        return named.into();
+    if let Some(from_env) = std::env::var_os("HOPMOOR") {
+        return from_env.into();
     }
-    let beside = |exe: PathBuf| exe.parent().map(|folder| folder.join("hopmoor"));
-    std::env::current_exe().ok().and_then(beside).unwrap_or_else(|| Path::new("hopmoor").to_owned())
+    let next_to = |exe: PathBuf| exe.parent().map(|folder| folder.join("hopmoor"));
+    std::env::current_exe().ok().and_then(next_to).unwrap_or_else(|| Path::new("hopmoor").to_owned())
 }
