--- a/crates/passed/src/lib.rs
+++ b/crates/passed/src/lib.rs
@@ -1,9 +1,10 @@
-//! Takes over a listening socket that whoever started this process keeps, and passes down by its number.
+//! Takes over a listening socket that this process inherited from its parent as a numbered file descriptor.
 //!
-//! The number alone proves nothing: it may be closed, a file, or a descriptor that the process has opened itself. To own
-//! it on trust takes `unsafe`, and two owners of one number would close it under each other. So the process sends the
-//! descriptor to itself (`SCM_RIGHTS`, unix(7)): what comes back is a descriptor of its own for the same socket, closed
-//! on exec. The number stays open as it was passed, and costs one descriptor.
+//! The number alone proves nothing: the descriptor may be closed, a file, or one that the process has opened
+//! itself. Taking ownership of a raw descriptor needs `unsafe`, and if it has two owners, one closes it under
+//! the other. The process therefore sends the descriptor to itself (`SCM_RIGHTS`, unix(7)) and receives a new
+//! descriptor for the same socket, with close-on-exec set. The inherited descriptor stays open, which costs
+//! one descriptor.
 
 use nix::sys::socket::{ControlMessage, MsgFlags, sendmsg};
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SocketType, recvmsg, sockopt};
@@ -13,46 +14,48 @@
 use std::os::fd::{AsRawFd, OwnedFd, RawFd};
 use std::os::unix::net::UnixStream;
 
-/// The listening TCP socket behind this number, as a descriptor of this process's own that does not block.
+/// Returns the listening TCP socket behind an inherited descriptor, as a new non-blocking descriptor.
 ///
-/// Not blocking is a property of the socket, not of the descriptor: all that share it see it.
+/// Non-blocking mode is a property of the socket, not of the descriptor: it applies to all processes that
+/// share it.
 ///
 /// # Errors
-/// If the number is not open, or not a TCP socket over IP that listens.
-pub fn listener(number: RawFd) -> io::Result<TcpListener> {
-    let about = |what: &dyn std::fmt::Display| {
-        io::Error::new(io::ErrorKind::InvalidInput, format!("descriptor {number}: {what}"))
+/// If the descriptor is not open, or is not a listening TCP socket over IP.
+pub fn listener(fd: RawFd) -> io::Result<TcpListener> {
+    let invalid_input = |reason: &dyn std::fmt::Display| {
+        io::Error::new(io::ErrorKind::InvalidInput, format!("descriptor {fd}: {reason}"))
     };
-    let own = copy(number).map_err(|error| about(&error))?;
-    let stream = sockopt::socket_type(&own).map_err(|_| about(&"not a socket"))? == SocketType::STREAM;
-    if !stream || !sockopt::socket_acceptconn(&own).unwrap_or(false) {
-        return Err(about(&"not a listening socket"));
+    let copy = receive_copy(fd).map_err(|error| invalid_input(&error))?;
+    let is_stream =
+        sockopt::socket_type(&copy).map_err(|_| invalid_input(&"not a socket"))? == SocketType::STREAM;
+    if !is_stream || !sockopt::socket_acceptconn(&copy).unwrap_or(false) {
+        return Err(invalid_input(&"not a listening socket"));
     }
-    let listener = TcpListener::from(own);
-    listener.local_addr().map_err(|_| about(&"not a TCP socket"))?;
+    let listener = TcpListener::from(copy);
+    listener.local_addr().map_err(|_| invalid_input(&"not a TCP socket"))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// A descriptor of this process's own for what is open behind the number.
-fn copy(number: RawFd) -> io::Result<OwnedFd> {
-    let (here, there) = UnixStream::pair()?;
+/// Returns a new descriptor for the open file behind a descriptor, received through a socket pair.
+fn receive_copy(fd: RawFd) -> io::Result<OwnedFd> {
+    let (sender, receiver) = UnixStream::pair()?;
     sendmsg::<()>(
-        here.as_raw_fd(),
+        sender.as_raw_fd(),
         &[IoSlice::new(b"x")],
-        &[ControlMessage::ScmRights(&[number])],
+        &[ControlMessage::ScmRights(&[fd])],
         MsgFlags::empty(),
         None,
     )?;
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let mut buffer = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = RecvAncillaryBuffer::new(&mut buffer);
     let mut byte = [0u8];
-    recvmsg(&there, &mut [IoSliceMut::new(&mut byte)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
-    let sent = control.drain().find_map(|message| match message {
-        RecvAncillaryMessage::ScmRights(mut sent) => sent.next(),
+    recvmsg(&receiver, &mut [IoSliceMut::new(&mut byte)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    let received = control.drain().find_map(|message| match message {
+        RecvAncillaryMessage::ScmRights(mut received) => received.next(),
         _ => None,
     });
-    sent.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+    received.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
 }
 
 #[cfg(test)]
--- a/crates/resume/src/lib.rs
+++ b/crates/resume/src/lib.rs
@@ -1,9 +1,11 @@
-//! What it takes to move a stream and lose nothing, as values: no I/O, no clock, no source of random numbers.
+//! State for moving a stream to another node without losing messages. The types do no I/O and read neither a
+//! clock nor a source of random numbers.
 //!
-//! - [`token`]: what a stream was and how far it had come, sealed so that any node can read it and nobody forge it.
-//! - [`positions`]: messages numbered in one direction, and what of them has to be kept until it is acknowledged.
+//! - [`token`]: resume tokens, which hold a stream's identity and positions. They are sealed, so that any
+//!   node can read them and nobody without the key can forge one.
+//! - [`positions`]: numbers the messages of one direction and keeps them until they are acknowledged.
 //!
-//! `docs/resume.md` tells how they will be put together. Leases, pacing and the hand-over itself are not here yet.
+//! `docs/resume.md` describes the design. Leases, pacing and the hand-over itself are not implemented yet.
 
 pub mod positions;
 pub mod token;
--- a/crates/resume/src/token.rs
+++ b/crates/resume/src/token.rs
@@ -1,6 +1,9 @@
-//! Tokens: what a stream was and how far it had come, sealed so that any node with the key can go on from it and nobody
-//! else can make or read one: base64url of what `hopmoor_seal` makes of the claims. Who presents a token hears one refusal whatever is wrong with it, and a
-//! token under a key that is not there costs the same work as a forged one.
+//! Resume tokens, which hold a stream's identity and positions.
+//!
+//! A token is the base64url encoding of claims sealed by `hopmoor_seal`. Any node with the key can continue
+//! the stream from it; without the key a token can be neither read nor made. A client that presents a bad
+//! token gets the same refusal whatever the reason, and a token sealed under an unknown key costs as much
+//! work as a forged one.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -10,54 +13,55 @@
 
 pub use hopmoor_seal::NONCE_BYTES;
 
-/// Characters of a token, at most: longer ones are not looked at.
-pub const LONGEST: usize = 1_024;
+/// Maximum length of a token, in characters. Longer tokens are refused without being decoded.
+pub const MAX_TOKEN_CHARS: usize = 1_024;
 
-/// What a token says of its stream.
+/// The contents of a token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
-    /// The site that it belongs to: no other takes it.
+    /// Site that issued the token; other sites refuse it.
     pub realm: String,
-    /// The stream's number.
+    /// Number of the stream.
     pub stream: u128,
-    /// Its class.
+    /// Class of the stream.
     pub class: String,
-    /// Its tenant.
+    /// Tenant of the stream.
     pub tenant: String,
-    /// Its service.
+    /// Service of the stream.
     pub service: String,
-    /// The group whose streams share work.
+    /// Group of streams that share work, if the stream belongs to one.
     pub group: Option<u64>,
-    /// The client's messages that the member has acknowledged.
+    /// Position up to which the member has acknowledged the client's messages.
     pub from_client: u64,
-    /// The member's messages that the client has acknowledged.
+    /// Position up to which the client has acknowledged the member's messages.
     pub from_member: u64,
-    /// The member that it stood at.
+    /// Pool member that the stream was on.
     pub member: String,
-    /// Counts its hand-overs: of two that present a token the member takes the newer epoch.
+    /// Number of hand-overs of the stream so far. If two clients present a token of the stream, the member
+    /// accepts the one with the higher epoch.
     pub epoch: u64,
-    /// When it was issued, in Unix milliseconds.
+    /// When the token was issued, in Unix milliseconds.
     pub issued_ms: u64,
-    /// From when on it is void.
+    /// When the token expires, in Unix milliseconds; it is refused from that millisecond on.
     pub expires_ms: u64,
 }
 
-/// Claims that can't be sealed: longer than a token may be.
+/// The claims can't be sealed, because the token would exceed [`MAX_TOKEN_CHARS`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenError;
 
-/// Why a token was refused: for counters and the log, never for who presented it.
+/// Why a token was refused. For metrics and the log only; never sent to the client that presented the token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// It is no token.
+    /// It is not a token.
     Malformed,
-    /// It is sealed under a key that is not there.
+    /// It is sealed under a key that this node does not have.
     UnknownKey,
-    /// It was altered, or made by somebody without the key.
+    /// It was altered, or made without the key.
     Forged,
-    /// Its time is over.
+    /// It has expired.
     Expired,
-    /// It is of another site.
+    /// It belongs to another site.
     Foreign,
 }
 
@@ -73,27 +77,28 @@
     }
 }
 
-/// Seals claims. The nonce must be random and new each time.
+/// Seals claims into a token. The nonce must be random and must never be reused.
 ///
 /// # Errors
-/// If the token would be over [`LONGEST`] characters.
+/// If the token would be longer than [`MAX_TOKEN_CHARS`].
 pub fn seal(keys: &Keys, claims: &Claims, nonce: [u8; NONCE_BYTES]) -> Result<String, TokenError> {
     let plain = postcard::to_stdvec(claims).map_err(|_| TokenError)?;
     let sealed = hopmoor_seal::seal(keys, Kind::Token, &plain, nonce).ok_or(TokenError)?;
     let text = URL_SAFE_NO_PAD.encode(sealed);
-    if text.len() <= LONGEST { Ok(text) } else { Err(TokenError) }
+    if text.len() <= MAX_TOKEN_CHARS { Ok(text) } else { Err(TokenError) }
 }
 
-/// Reads a token at `now_ms`, for this site.
+/// Unseals a token and checks that it belongs to the site `realm` and has not expired at `now_ms`, in Unix
+/// milliseconds.
 ///
 /// # Errors
-/// Why it is refused.
+/// The reason for which the token is refused.
 pub fn open(keys: &Keys, realm: &str, now_ms: u64, token: &str) -> Result<Claims, Refused> {
-    if token.len() > LONGEST {
+    if token.len() > MAX_TOKEN_CHARS {
         return Err(Refused::Malformed);
     }
     let bytes = URL_SAFE_NO_PAD.decode(token).map_err(|_| Refused::Malformed)?;
-    let plain = hopmoor_seal::open(keys, Kind::Token, &bytes).map_err(|why| match why {
+    let plain = hopmoor_seal::open(keys, Kind::Token, &bytes).map_err(|error| match error {
         UnsealError::Malformed => Refused::Malformed,
         UnsealError::UnknownKey => Refused::UnknownKey,
         UnsealError::Forged => Refused::Forged,
--- a/crates/resume/tests/model.rs
+++ b/crates/resume/tests/model.rs
@@ -1,11 +1,11 @@
-//! Tokens and positions against plain models.
+//! Tests of resume tokens, and of positions against a plain list as the model.
 use hopmoor_resume::Keys;
 use hopmoor_resume::positions::{AckError, Full, Gap, Positions};
-use hopmoor_resume::token::{Claims, LONGEST, NONCE_BYTES, Refused, open, seal};
+use hopmoor_resume::token::{Claims, MAX_TOKEN_CHARS, NONCE_BYTES, Refused, open, seal};
 use proptest::prelude::*;
 
 fn keys(seal_with: u32, ids: &[u32]) -> Keys {
-    // 32 bytes of one letter, in base64.
+    // Each secret is 32 bytes of one letter, in base64.
     let secret = |id: &u32| match id % 3 {
         0 => "QUFBQUFBQUFBQUFBQUFBQUFBQUFBQUFBQUFBQUFBQUE=",
         1 => "QkJCQkJCQkJCQkJCQkJCQkJCQkJCQkJCQkJCQkJCQkI=",
@@ -44,52 +44,61 @@
     assert!(!token.contains("red-clay"));
     let again = seal(&keys(1, &[1]), &claims(), [6; NONCE_BYTES]).unwrap();
     assert_ne!(token[8..], again[8..]);
-    let long = Claims { service: "x".repeat(LONGEST), ..claims() };
+    let long = Claims { service: "x".repeat(MAX_TOKEN_CHARS), ..claims() };
     assert!(seal(&keys(1, &[1]), &long, [5; NONCE_BYTES]).is_err());
 }
 
-/// The same key bytes under another number: the number is sealed in as well.
+/// Keys 1 and 4 have the same secret. A token whose key id is changed from one to the other must be refused,
+/// because the key id is authenticated too.
 #[test]
-fn a_token_under_another_keys_number_is_forged() {
+fn a_token_with_another_key_id_is_refused_as_forged() {
     let token = seal(&keys(1, &[1, 4]), &claims(), [5; NONCE_BYTES]).unwrap();
-    let moved = token.replacen("AQEAAAA", "AQQAAAA", 1);
-    assert_ne!(moved, token);
-    assert_eq!(open(&keys(1, &[1, 4]), "oconee", 2_000, &moved), Err(Refused::Forged));
+    let relabelled = token.replacen("AQEAAAA", "AQQAAAA", 1);
+    assert_ne!(relabelled, token);
+    assert_eq!(open(&keys(1, &[1, 4]), "oconee", 2_000, &relabelled), Err(Refused::Forged));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_altered_token_is_taken(at in any::<prop::sample::Index>(), bit in 0u8..6, stream in any::<u128>(), epoch in any::<u64>()) {
-        const LETTERS: &[u8] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+    fn a_token_with_a_flipped_bit_is_refused(
+        at in any::<prop::sample::Index>(),
+        bit in 0u8..6,
+        stream in any::<u128>(),
+        epoch in any::<u64>(),
+    ) {
+        const BASE64URL_ALPHABET: &[u8] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
         let keys = keys(1, &[1, 2]);
         let token = seal(&keys, &Claims { stream, epoch, ..claims() }, [5; NONCE_BYTES]).unwrap();
         let mut bytes = token.clone().into_bytes();
         let at = at.index(bytes.len());
-        let value = LETTERS.iter().position(|letter| *letter == bytes[at]).unwrap();
-        bytes[at] = LETTERS[value ^ (1 << bit)];
+        let value = BASE64URL_ALPHABET.iter().position(|letter| *letter == bytes[at]).unwrap();
+        bytes[at] = BASE64URL_ALPHABET[value ^ (1 << bit)];
         let altered = String::from_utf8(bytes).unwrap();
         prop_assert!(open(&keys, "oconee", 2_000, &altered).is_err());
     }
 
     #[test]
-    fn any_text_is_refused_without_a_panic(text in ".{0,80}", bytes in proptest::collection::vec(any::<u8>(), 0..90)) {
+    fn arbitrary_text_is_refused_without_a_panic(
+        text in ".{0,80}",
+        bytes in proptest::collection::vec(any::<u8>(), 0..90),
+    ) {
         let keys = keys(1, &[1]);
         prop_assert!(open(&keys, "oconee", 0, &text).is_err());
         let printable: String = bytes.iter().map(|byte| char::from(b'A' + byte % 26)).collect();
         prop_assert!(open(&keys, "oconee", 0, &printable).is_err());
     }
 
-    /// Whatever is sent and acknowledged, in any order: what follows a position is exactly what a plain list holds, or
-    /// a gap is told; and what is kept stays within its bound.
+    /// After any sequence of sends and acknowledgements, the messages after a position are those of a plain
+    /// list, or a gap is reported, and the kept bytes stay within the limit.
     #[test]
-    fn positions_are_those_of_a_plain_list(
+    fn positions_match_a_plain_list(
         start in prop_oneof![0u64..10, (u64::from(u32::MAX) - 20)..u64::from(u32::MAX)],
         steps in proptest::collection::vec((0u8..4, 0u64..40, 0usize..30), 1..120),
     ) {
-        let most = 200;
-        let mut real = Positions::new(start, most);
+        let max_bytes = 200;
+        let mut positions = Positions::new(start, max_bytes);
         let (mut list, mut acked): (Vec<Vec<u8>>, u64) = (Vec::new(), start);
         for (kind, number, size) in steps {
             let sent = start + list.len() as u64;
@@ -97,47 +106,47 @@
             match kind {
                 0 | 1 => {
                     let message = vec![number as u8; size];
-                    if kept + size > most {
-                        prop_assert_eq!(real.send(message), Err(Full));
+                    if kept + size > max_bytes {
+                        prop_assert_eq!(positions.send(message), Err(Full));
                     } else {
-                        prop_assert_eq!(real.send(message.clone()), Ok(sent + 1));
+                        prop_assert_eq!(positions.send(message.clone()), Ok(sent + 1));
                         list.push(message);
                     }
                 }
                 2 => {
-                    let upto = start + number;
-                    if upto > sent {
-                        prop_assert_eq!(real.ack(upto), Err(AckError { acked: upto, sent }));
+                    let up_to = start + number;
+                    if up_to > sent {
+                        prop_assert_eq!(positions.ack(up_to), Err(AckError { acked: up_to, sent }));
                     } else {
-                        prop_assert_eq!(real.ack(upto), Ok(()));
-                        acked = acked.max(upto);
+                        prop_assert_eq!(positions.ack(up_to), Ok(()));
+                        acked = acked.max(up_to);
                     }
                 }
                 _ => {
-                    // The wire's count wraps; those ahead of what was sent are refused.
-                    let upto = acked + number;
-                    let result = real.acked_on_wire(upto as u32);
-                    if upto > sent {
-                        prop_assert_eq!(result, Err(AckError { acked: upto, sent }));
+                    // The count wraps at 2^32; counts beyond the last message sent are refused.
+                    let up_to = acked + number;
+                    let result = positions.ack_wire_count(up_to as u32);
+                    if up_to > sent {
+                        prop_assert_eq!(result, Err(AckError { acked: up_to, sent }));
                     } else {
                         prop_assert_eq!(result, Ok(()));
-                        acked = upto;
+                        acked = up_to;
                     }
                 }
             }
             let sent = start + list.len() as u64;
-            prop_assert!(real.bytes() <= most);
-            prop_assert_eq!((real.sent(), real.acked()), (sent, acked));
+            prop_assert!(positions.bytes() <= max_bytes);
+            prop_assert_eq!((positions.sent(), positions.acked()), (sent, acked));
             for position in start.saturating_sub(1)..=sent + 1 {
-                match real.after(position) {
+                match positions.unacked_after(position) {
                     Err(Gap) => prop_assert!(position < acked || position > sent),
                     Ok(rest) => {
                         prop_assert!(position >= acked && position <= sent);
                         let rest: Vec<_> = rest.map(|(number, message)| (number, message.to_vec())).collect();
-                        let wanted: Vec<_> = (position + 1..=sent)
+                        let expected: Vec<_> = (position + 1..=sent)
                             .map(|number| (number, list[(number - start - 1) as usize].clone()))
                             .collect();
-                        prop_assert_eq!(rest, wanted);
+                        prop_assert_eq!(rest, expected);
                     }
                 }
             }
