--- a/crates/ops/src/console/tests.rs
+++ b/crates/ops/src/console/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use hopmoor_standin::plan::{Act, Plan, What};
-use hopmoor_world::{BEGAN, play};
+use hopmoor_standin::plan::{Plan, ScriptAction, ScriptEntry};
+use hopmoor_world::{RUN_START_UNIX_MS, simulate};
 use ratatui::Terminal;
 use ratatui::backend::TestBackend;
 
@@ -20,24 +20,24 @@
 fn a_replay_shows_the_incident_at_80_by_24_and_goes_back_and_forth() {
     let folder = tempfile::tempdir().unwrap();
     let plan = Plan { until_ms: 150_000.0, ..Plan::ten_minutes() };
-    play(&plan, Some(folder.path())).unwrap();
+    simulate(&plan, Some(folder.path())).unwrap();
     let folders: Vec<_> = plan.nodes.iter().map(|node| folder.path().join(node)).collect();
     let source = Source::replay(&folders, "start", 1.0).unwrap();
     let mut app = App::new(source);
     app.advance(Instant::now());
-    app.seek(BEGAN + 70_000.0);
+    app.seek(RUN_START_UNIX_MS + 70_000.0);
     let silent = screen(&app, 80, 24);
     let row = silent.lines().find(|line| line.contains("s-3")).unwrap_or_else(|| panic!("{silent}"));
     assert!(row.contains("silent"), "{silent}");
     assert!(silent.contains("red-clay-guild") && silent.contains("no answer"), "{silent}");
     assert!(silent.contains("quit") && silent.contains("REPLAY"), "keys are on the screen: {silent}");
-    app.seek(BEGAN + 125_000.0);
+    app.seek(RUN_START_UNIX_MS + 125_000.0);
     assert!(screen(&app, 80, 24).lines().any(|line| line.contains("s-5") && line.contains("draining")));
-    app.seek(BEGAN + 50_000.0);
+    app.seek(RUN_START_UNIX_MS + 50_000.0);
     let calm = screen(&app, 80, 24);
     assert!(!calm.contains("silent") && !calm.contains("draining"), "{calm}");
     // A filter shows only what holds its text; the screen bears any size.
-    app.seek(BEGAN + 70_000.0);
+    app.seek(RUN_START_UNIX_MS + 70_000.0);
     app.key(Keys::Char('/'));
     type_in(&mut app, "probe");
     app.key(Keys::Enter);
@@ -53,13 +53,13 @@
 #[test]
 fn a_live_console_follows_a_node_over_its_restart() {
     let folder = tempfile::tempdir().unwrap();
-    let act = |at_ms, what| Act { at_ms, what };
+    let act = |at_ms, what| ScriptEntry { at_ms, what };
     let script = vec![
-        act(8_000.0, What::KillNode { node: "n-1".into() }),
-        act(10_000.0, What::StartNode { node: "n-1".into() }),
+        act(8_000.0, ScriptAction::KillNode { node: "n-1".into() }),
+        act(10_000.0, ScriptAction::StartNode { node: "n-1".into() }),
     ];
     let plan = Plan { nodes: vec!["n-1".into()], script, ..Plan::calm(20_000.0) };
-    play(&plan, Some(folder.path())).unwrap();
+    simulate(&plan, Some(folder.path())).unwrap();
     let mut app = App::new(Source::live(&[folder.path().join("n-1")]).unwrap());
     app.advance(Instant::now());
     let first = screen(&app, 80, 24);
--- a/crates/ops/src/demo.rs
+++ b/crates/ops/src/demo.rs
@@ -50,7 +50,7 @@
         let about = |error| Failed(format!("{}: {error}", folder.display()));
         // Guards against records of two plays in one folder, which would read as one node's restarts.
         std::fs::create_dir(folder).map_err(about)?;
-        let truth = hopmoor_world::play(&plan, Some(folder)).map_err(about)?;
+        let truth = hopmoor_world::simulate(&plan, Some(folder)).map_err(about)?;
         if self.truth {
             let text = serde_json::to_string_pretty(&truth).map_err(|error| Failed(error.to_string()))?;
             std::fs::write(folder.join("truth.json"), text).map_err(about)?;
--- a/crates/rig/src/bin/hopmoor-rig.rs
+++ b/crates/rig/src/bin/hopmoor-rig.rs
@@ -77,7 +77,7 @@
                 std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
             Schedule::read(&text).map_err(|error| format!("{}: {error}", file.display()))?
         }
-        (None, Some(seed)) => Schedule::drawn(seed, run.nodes, run.seconds, &run.faults)?,
+        (None, Some(seed)) => Schedule::random(seed, run.nodes, run.seconds, &run.faults)?,
         (None, None) => return Err("neither a schedule nor --seed".into()),
     };
     let mut options = Options { every: Duration::from_millis(run.every_ms.max(10)), ..Options::default() };
@@ -96,8 +96,8 @@
 
 /// Prints what a history shows; fails on a node that was held dead, or came again, without a reason.
 fn judge(history: &History) -> ExitCode {
-    print!("{}", history.told());
-    let good = history.false_deaths(GRACE_S).is_empty() && history.needless_returns(GRACE_S).is_empty();
+    print!("{}", history.summary());
+    let good = history.false_deaths(GRACE_S).is_empty() && history.needless_rejoins(GRACE_S).is_empty();
     if good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -3,9 +3,9 @@
 use crate::process::{Process, Start, call};
 use crate::relay::{Relay, Rule};
 use hopmoor_seal::{KEY_BYTES, Keys};
-use hopmoor_standin::faults::{Fault, Schedule, Who};
-use hopmoor_standin::history::{Act, History, Seen, What};
-use hopmoor_standin::sockets::{Discovery, Member, Stage};
+use hopmoor_standin::faults::{Fault, NodeSet, Schedule};
+use hopmoor_standin::history::{History, NodeEvent, NodeEventKind, Observation};
+use hopmoor_standin::sockets::{Discovery, Member, StandInRuntime};
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
 use rustix::process::Signal;
@@ -63,7 +63,7 @@
     places: Vec<Place>,
     /// Which node's process has which address.
     senders: Rc<RefCell<HashMap<IpAddr, usize>>>,
-    rule: Rc<dyn Fn(IpAddr, usize, bool) -> Option<hopmoor_standin::faults::Manner>>,
+    rule: Rc<dyn Fn(IpAddr, usize, bool) -> Option<hopmoor_standin::faults::LinkCondition>>,
     history: Rc<RefCell<History>>,
     /// Where running nodes are asked.
     asked: Rc<RefCell<BTreeMap<usize, SocketAddr>>>,
@@ -101,7 +101,7 @@
     let temporary = tempfile::tempdir()?;
     let folder = kept.unwrap_or_else(|| temporary.path().to_owned());
     std::fs::create_dir_all(&folder)?;
-    let stage = Stage::new()?;
+    let stage = StandInRuntime::new()?;
     let discovery = Discovery::start(&stage)?;
     let members: Vec<Member> =
         (0..MEMBERS).map(|n| Member::start(&stage, 70 + n as u32)).collect::<io::Result<_>>()?;
@@ -141,7 +141,8 @@
     }
     rig.began = Instant::now();
     *began.borrow_mut() = rig.began;
-    let first: Vec<usize> = (0..rig.schedule.nodes).filter(|node| rig.schedule.starts(*node)).collect();
+    let first: Vec<usize> =
+        (0..rig.schedule.nodes).filter(|node| rig.schedule.runs_initially(*node)).collect();
     rig.start(&first).await?;
     // Time counts from when all run.
     rig.began = Instant::now();
@@ -178,9 +179,9 @@
 }
 
 impl Rig {
-    fn act(&self, node: usize, what: What) {
+    fn act(&self, node: usize, what: NodeEventKind) {
         let at = self.began.elapsed().as_secs_f64();
-        self.history.borrow_mut().acts.push(Act { at, node, what });
+        self.history.borrow_mut().acts.push(NodeEvent { at, node, what });
     }
 
     /// A new place for a process of a node; its number.
@@ -234,13 +235,13 @@
             self.asked.borrow_mut().entry(place.node).or_insert(process.admin);
             let node = place.node;
             place.process = Some(process);
-            self.act(node, What::Started);
+            self.act(node, NodeEventKind::Started);
         }
         Ok(())
     }
 
-    fn among(&self, who: &Who) -> Vec<usize> {
-        (0..self.schedule.nodes).filter(|node| who.has(*node, self.schedule.zones)).collect()
+    fn among(&self, who: &NodeSet) -> Vec<usize> {
+        (0..self.schedule.nodes).filter(|node| who.includes(*node, self.schedule.zones)).collect()
     }
 
     fn running(&self, node: usize) -> Vec<usize> {
@@ -264,7 +265,7 @@
                 process.kill().await;
             }
         }
-        self.act(node, What::Killed);
+        self.act(node, NodeEventKind::Killed);
     }
 
     async fn step(&mut self, fault: Fault, at: f64) -> io::Result<()> {
@@ -285,7 +286,7 @@
             }
             Fault::Term { nodes } => {
                 for node in self.among(&nodes) {
-                    self.act(node, What::Told);
+                    self.act(node, NodeEventKind::Told);
                     for place in self.running(node) {
                         let Some(process) = self.places[place].process.take() else { continue };
                         let (history, began) = (self.history.clone(), self.began);
@@ -294,7 +295,11 @@
                             process.term().await;
                             asked.borrow_mut().remove(&node);
                             let at = began.elapsed().as_secs_f64();
-                            history.borrow_mut().acts.push(Act { at, node, what: What::Ended });
+                            history.borrow_mut().acts.push(NodeEvent {
+                                at,
+                                node,
+                                what: NodeEventKind::Ended,
+                            });
                         });
                     }
                 }
@@ -303,7 +308,7 @@
                 let until = self.began + Duration::from_secs_f64(at + seconds);
                 for node in self.among(&nodes) {
                     self.signal(node, Signal::STOP);
-                    self.act(node, What::Stopped);
+                    self.act(node, NodeEventKind::Stopped);
                     for place in self.running(node) {
                         let Some(process) = &self.places[place].process else { continue };
                         let id = rustix::process::Pid::from_raw(process.id());
@@ -314,7 +319,11 @@
                                 let _ = rustix::process::kill_process(id, Signal::CONT);
                             }
                             let at = began.elapsed().as_secs_f64();
-                            history.borrow_mut().acts.push(Act { at, node, what: What::Continued });
+                            history.borrow_mut().acts.push(NodeEvent {
+                                at,
+                                node,
+                                what: NodeEventKind::Continued,
+                            });
                         });
                     }
                 }
@@ -396,13 +405,13 @@
             let Ok((200, body)) = fleet else { continue };
             let at = began.elapsed().as_secs_f64();
             if let Some(seen) = seen(at, node, &body, ready.ok()) {
-                history.borrow_mut().seen.push(Seen { asked, ..seen });
+                history.borrow_mut().seen.push(Observation { asked, ..seen });
             }
         }
     }
 }
 
-fn seen(at: f64, node: usize, body: &str, ready: Option<(u16, String)>) -> Option<Seen> {
+fn seen(at: f64, node: usize, body: &str, ready: Option<(u16, String)>) -> Option<Observation> {
     let view: Value = serde_json::from_str(body).ok()?;
     let members = view["members"].as_array()?;
     let named = |member: &Value| member["name"].as_str()?.strip_prefix("n-")?.parse::<usize>().ok();
@@ -416,7 +425,18 @@
     let itself_ready = ready.as_ref().map(|(status, _)| *status == 200);
     let drains = ready.is_some_and(|(_, why)| why.trim_end().ends_with("draining"));
     let ready = by("ready");
-    Some(Seen { at, asked: at, node, digest, states, ready, itself_ready, drains, incarnation, sharing })
+    Some(Observation {
+        at,
+        asked: at,
+        node,
+        digest,
+        states,
+        ready,
+        itself_ready,
+        drains,
+        incarnation,
+        sharing,
+    })
 }
 
 /// Datagrams that nobody sealed.
--- a/crates/rig/src/plot.rs
+++ b/crates/rig/src/plot.rs
@@ -1,7 +1,7 @@
 //! A history as a page: a row a node, by time; how many others hold it dead or suspect, and faults as bands.
 
 use hopmoor_standin::faults::{Fault, Schedule};
-use hopmoor_standin::history::{History, Was, What};
+use hopmoor_standin::history::{History, NodeEventKind, ProcessState};
 use maud::{Markup, html};
 
 /// Pixels of a second, at most, and of a node's row.
@@ -65,7 +65,7 @@
             text x="0" y=(y + ROW - 3.0) font-size="10" { (format!("n-{node:04}")) }
             @for (cell, (all, dead, suspect)) in row.iter().enumerate() {
                 @let at = cell as f64 * STEP;
-                @let up = history.was(node, at).0 == Was::Up;
+                @let up = history.process_state(node, at).0 == ProcessState::Up;
                 @if *all > 0 {
                     @let part = f64::from(*dead) / f64::from(*all);
                     @let doubt = f64::from(*suspect) / f64::from(*all);
@@ -84,7 +84,7 @@
                 }
             }
         }
-        @for act in history.acts.iter().filter(|act| !matches!(act.what, What::Started) || act.at > 0.0) {
+        @for act in history.acts.iter().filter(|act| !matches!(act.what, NodeEventKind::Started) || act.at > 0.0) {
             @let y = act.node as f64 * ROW;
             rect x=(paper.x(act.at)) y=(y) width="2" height=(ROW) fill="#000" {
                 title { (format!("{:.1} s: {:?}", act.at, act.what)) }
@@ -95,7 +95,7 @@
         p { "Grey below a row: its process did not run. Yellow: others suspect it. Red: others hold it dead; the "
             "stronger, the more of them. Bands: faults; black ticks: what was done to a process. Point at anything "
             "to read it." }
-        pre { (history.told()) }
+        pre { (history.summary()) }
         div style="overflow-x:auto" {
             svg xmlns="http://www.w3.org/2000/svg" width=(paper.x(schedule.seconds) + 10.0) height=(high + 4.0)
                 font-family="monospace" {
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay stands for one process: what the others send to it comes here first, as datagrams or connections. Who sends is
 //! told by the address that it comes from; how it is treated is asked for each datagram and each piece of a connection.
 
-use hopmoor_standin::faults::Manner;
+use hopmoor_standin::faults::LinkCondition;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::RefCell;
@@ -16,7 +16,7 @@
 
 /// How what comes from an address is treated now on its way to this relay's process, or the other way where `back` is
 /// set. `None`: it is no node's address.
-pub type Rule = Rc<dyn Fn(IpAddr, bool) -> Option<Manner>>;
+pub type Rule = Rc<dyn Fn(IpAddr, bool) -> Option<LinkCondition>>;
 
 /// A connection over a cut link is held so long without a byte, as packets that get lost would have it.
 const HELD: Duration = Duration::from_secs(6);
@@ -142,7 +142,7 @@
 async fn pass(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    manner: impl Fn() -> Option<Manner>,
+    manner: impl Fn() -> Option<LinkCondition>,
     passed: Rc<RefCell<u64>>,
 ) -> io::Result<()> {
     let mut buffer = vec![0; PIECE];
--- a/crates/standin/examples/recorder_cost.rs
+++ b/crates/standin/examples/recorder_cost.rs
@@ -9,7 +9,7 @@
 //! third neither records: what they differ by then is the noise. With `calls` the second takes operators' calls in place
 //! of recording, and is asked for its figures ten times a second. With `fleet` it is in a fleet, with a third node.
 
-use hopmoor_standin::sockets::{Client, Discovery, Member, Stage};
+use hopmoor_standin::sockets::{Client, Discovery, Member, StandInRuntime};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::path::Path;
@@ -210,7 +210,7 @@
     };
     let folder = std::env::temp_dir().join(format!("hopmoor-cost-{}", std::process::id()));
     std::fs::create_dir(&folder)?;
-    let stage = Stage::new()?;
+    let stage = StandInRuntime::new()?;
     let discovery = Discovery::start(&stage)?;
     let members = (1..=10).map(|receipt| Member::start(&stage, receipt)).collect::<Result<Vec<_>, _>>()?;
     for (at, member) in members.iter().enumerate() {
--- a/crates/standin/examples/scale.rs
+++ b/crates/standin/examples/scale.rs
@@ -11,7 +11,7 @@
 //! silent; the node is told to end, and a second process starts as the first did. The least of the table's figures is taken at 200.
 
 use clap::Parser;
-use hopmoor_standin::sockets::{Client, Delivery, Discovery, Listed, Member, Stage};
+use hopmoor_standin::sockets::{Client, Discovery, DiscoveryEntry, Member, ResponseBehavior, StandInRuntime};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::io::{BufRead, BufReader};
@@ -196,7 +196,7 @@
 }
 
 struct Day {
-    stage: Stage,
+    stage: StandInRuntime,
     hosts: Vec<Member>,
     discovery: Discovery,
     draw: StdRng,
@@ -215,12 +215,12 @@
 
 impl Day {
     fn new(hosts: usize, seed: u64) -> Result<Day, Failure> {
-        let stage = Stage::new()?;
+        let stage = StandInRuntime::new()?;
         let discovery = Discovery::start(&stage)?;
         let hosts =
             (0..hosts).map(|at| Member::start(&stage, at as u32 + 1)).collect::<Result<Vec<_>, _>>()?;
         let listed = |(at, host): (usize, &Member)| {
-            (name(at), Listed { dial: host.address(), health: "Ready", born_ms: 0.0 })
+            (name(at), DiscoveryEntry { dial: host.address(), health: "Ready", born_ms: 0.0 })
         };
         discovery.set_all(&hosts.iter().enumerate().map(listed).collect::<Vec<_>>());
         let folder = tempfile::tempdir()?;
@@ -302,7 +302,7 @@
 
     /// One host of fifty changes: it drains, is gone, or is there again, cold.
     fn change(&mut self) {
-        let changes = self.hosts.len() / CHANGES;
+        let incremental = self.hosts.len() / CHANGES;
         let changed = |_| {
             let at = self.draw.random_range(0..self.hosts.len());
             let (health, born_ms) = match self.draw.random_range(0..4) {
@@ -311,21 +311,21 @@
                 1 if !self.stood_at(at) => ("Gone", 0.0),
                 _ => ("Ready", unix_ms()),
             };
-            (name(at), Listed { dial: self.hosts[at].address(), health, born_ms })
+            (name(at), DiscoveryEntry { dial: self.hosts[at].address(), health, born_ms })
         };
-        let changed: Vec<_> = (0..changes).map(changed).collect();
+        let changed: Vec<_> = (0..incremental).map(changed).collect();
         self.discovery.set_all(&changed);
     }
 
     /// One process's life.
     async fn life(&mut self, program: &Path, life: Duration) -> Result<Process, Failure> {
-        let slow = Delivery {
-            begins_after: Duration::from_millis(500),
+        let slow = ResponseBehavior {
+            start_delay: Duration::from_millis(500),
             over: Duration::from_millis(1_500),
             silent: false,
-            changes: true,
+            incremental: true,
         };
-        self.discovery.deliver(slow);
+        self.discovery.set_response_behavior(slow);
         let mut process = Process::start(program, &self.config()?)?;
         let address = process.address.clone();
         self.come_back(&address, life);
@@ -339,9 +339,10 @@
             let delivery = if now < Duration::from_secs(6) {
                 slow
             } else {
-                Delivery { changes: true, ..Delivery::default() }
+                ResponseBehavior { incremental: true, ..ResponseBehavior::default() }
             };
-            self.discovery.deliver(Delivery { silent: SILENT.contains(&now), ..delivery });
+            self.discovery
+                .set_response_behavior(ResponseBehavior { silent: SILENT.contains(&now), ..delivery });
             while (arrivals as f64) < now.as_secs_f64() * ARRIVALS {
                 arrivals += 1;
                 self.arrive(&address, arrivals);
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -50,36 +50,36 @@
     /// These start; all others do at the beginning.
     Start {
         /// Which.
-        nodes: Who,
+        nodes: NodeSet,
     },
     /// SIGKILL.
     Kill {
         /// Which.
-        nodes: Who,
+        nodes: NodeSet,
     },
     /// SIGTERM.
     Term {
         /// Which.
-        nodes: Who,
+        nodes: NodeSet,
     },
     /// SIGSTOP, and SIGCONT after so long.
     Stop {
         /// Which.
-        nodes: Who,
+        nodes: NodeSet,
         /// For how long, in seconds.
         seconds: f64,
     },
     /// What goes from some to others is treated so, for a time.
     Link {
         /// Senders.
-        from: Who,
+        from: NodeSet,
         /// Receivers.
-        to: Who,
+        to: NodeSet,
         /// Whether the way back as well.
         #[serde(default)]
         both: bool,
         /// How.
-        how: Manner,
+        how: LinkCondition,
         /// For how long, in seconds.
         seconds: f64,
     },
@@ -105,7 +105,7 @@
     /// A node drains, or takes clients again.
     Drain {
         /// Which.
-        nodes: Who,
+        nodes: NodeSet,
         /// Whether it drains.
         on: bool,
     },
@@ -135,7 +135,7 @@
 /// Some of the nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Who {
+pub enum NodeSet {
     /// All of them.
     All,
     /// These.
@@ -146,14 +146,14 @@
     Zone(usize),
 }
 
-impl Who {
+impl NodeSet {
     /// Whether one is among them.
-    pub fn has(&self, node: usize, zones: usize) -> bool {
+    pub fn includes(&self, node: usize, zones: usize) -> bool {
         match self {
-            Who::All => true,
-            Who::Only(nodes) => nodes.contains(&node),
-            Who::But(nodes) => !nodes.contains(&node),
-            Who::Zone(zone) => node % zones.max(1) == *zone,
+            NodeSet::All => true,
+            NodeSet::Only(nodes) => nodes.contains(&node),
+            NodeSet::But(nodes) => !nodes.contains(&node),
+            NodeSet::Zone(zone) => node % zones.max(1) == *zone,
         }
     }
 }
@@ -161,7 +161,7 @@
 /// How a link treats what goes over it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Manner {
+pub struct LinkCondition {
     /// Nothing passes.
     pub cut: bool,
     /// Share of datagrams lost.
@@ -178,11 +178,11 @@
     pub cut_after: u64,
 }
 
-impl Manner {
+impl LinkCondition {
     /// Both at once.
-    pub fn and(self, other: Manner) -> Manner {
+    pub fn and(self, other: LinkCondition) -> LinkCondition {
         let least = |a: f64, b: f64| if a == 0.0 || (b > 0.0 && b < a) { b } else { a };
-        Manner {
+        LinkCondition {
             cut: self.cut || other.cut,
             loss: 1.0 - (1.0 - self.loss) * (1.0 - other.loss),
             delay_ms: self.delay_ms + other.delay_ms,
@@ -212,14 +212,14 @@
     }
 
     /// How the link from one node to another treats what goes over it at this time.
-    pub fn link(&self, at: f64, from: usize, to: usize) -> Manner {
-        let mut manner = Manner::default();
+    pub fn link(&self, at: f64, from: usize, to: usize) -> LinkCondition {
+        let mut manner = LinkCondition::default();
         for step in self.steps.iter().take_while(|step| step.at <= at) {
             if let Fault::Link { from: some, to: others, both, how, seconds } = &step.fault
                 && at < step.at + seconds
             {
-                let there = some.has(from, self.zones) && others.has(to, self.zones);
-                let back = *both && some.has(to, self.zones) && others.has(from, self.zones);
+                let there = some.includes(from, self.zones) && others.includes(to, self.zones);
+                let back = *both && some.includes(to, self.zones) && others.includes(from, self.zones);
                 if there || back {
                     manner = manner.and(*how);
                 }
@@ -229,10 +229,10 @@
     }
 
     /// Whether one starts with the schedule, and not by a step of it.
-    pub fn starts(&self, node: usize) -> bool {
+    pub fn runs_initially(&self, node: usize) -> bool {
         let mut later = self.steps.iter().filter_map(|step| match &step.fault {
-            Fault::Start { nodes } => Some(nodes.has(node, self.zones)),
-            Fault::Kill { nodes } | Fault::Term { nodes } if nodes.has(node, self.zones) => Some(false),
+            Fault::Start { nodes } => Some(nodes.includes(node, self.zones)),
+            Fault::Kill { nodes } | Fault::Term { nodes } if nodes.includes(node, self.zones) => Some(false),
             _ => None,
         });
         later.next() != Some(true)
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -10,26 +10,26 @@
     /// What was played.
     pub schedule: Option<Schedule>,
     /// What was done to whom, as it was done.
-    pub acts: Vec<Act>,
+    pub acts: Vec<NodeEvent>,
     /// What the nodes said when they were asked, in the order of the times.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<Observation>,
 }
 
 /// Something done to a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Act {
+pub struct NodeEvent {
     /// When, in seconds from the start.
     pub at: f64,
     /// To whom.
     pub node: usize,
     /// What.
-    pub what: What,
+    pub what: NodeEventKind,
 }
 
 /// What is done to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum NodeEventKind {
     /// Its process started.
     Started,
     /// Its process was killed.
@@ -46,7 +46,7 @@
 
 /// One node's view, at one time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// When, in seconds from the start.
     pub at: f64,
     /// Whose.
@@ -75,7 +75,7 @@
 
 /// Whether a node was there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Was {
+pub enum ProcessState {
     /// It ran.
     Up,
     /// It did not.
@@ -86,28 +86,28 @@
 
 impl History {
     /// How a node was at a time, and since when.
-    pub fn was(&self, node: usize, at: f64) -> (Was, f64) {
-        let mut was = (Was::Down, 0.0);
+    pub fn process_state(&self, node: usize, at: f64) -> (ProcessState, f64) {
+        let mut process_state = (ProcessState::Down, 0.0);
         for act in self.acts.iter().filter(|act| act.node == node && act.at <= at) {
-            was = match act.what {
-                What::Started => (Was::Up, act.at),
-                What::Killed | What::Ended => (Was::Down, act.at),
-                What::Stopped => (Was::Stopped, act.at),
-                What::Continued => (Was::Up, act.at),
-                What::Told => was,
+            process_state = match act.what {
+                NodeEventKind::Started => (ProcessState::Up, act.at),
+                NodeEventKind::Killed | NodeEventKind::Ended => (ProcessState::Down, act.at),
+                NodeEventKind::Stopped => (ProcessState::Stopped, act.at),
+                NodeEventKind::Continued => (ProcessState::Up, act.at),
+                NodeEventKind::Told => process_state,
             };
         }
-        was
+        process_state
     }
 
     /// The last act on a node that ends it, at or before a time.
-    fn last(&self, node: usize, what: What, at: f64) -> Option<f64> {
+    fn last(&self, node: usize, what: NodeEventKind, at: f64) -> Option<f64> {
         let mut acts = self.acts.iter().rev();
         acts.find(|act| act.node == node && act.what == what && act.at <= at).map(|act| act.at)
     }
 
     /// When a node's end was first seen by one, and by all others that ran: held dead or left.
-    pub fn end_seen(&self, node: usize, since: f64) -> (Option<f64>, Option<f64>) {
+    pub fn end_detection_delays(&self, node: usize, since: f64) -> (Option<f64>, Option<f64>) {
         let mut first: BTreeMap<usize, f64> = BTreeMap::new();
         for seen in self.seen.iter().filter(|seen| seen.at >= since && seen.node != node) {
             if seen.states.get(&node).is_some_and(|state| state == "dead" || state == "left") {
@@ -126,19 +126,21 @@
         let end = self.seen.last().map_or(since, |seen| seen.at);
         (0..nodes)
             .filter(|node| {
-                self.was(*node, since).0 == Was::Up && self.was(*node, end) == self.was(*node, since)
+                self.process_state(*node, since).0 == ProcessState::Up
+                    && self.process_state(*node, end) == self.process_state(*node, since)
             })
             .collect()
     }
 
     /// How long after a time all that run in the end had equal digests, and each held exactly those that run to be there; and kept
     /// that until the end. `None` if it never came to that.
-    pub fn settled(&self, since: f64) -> Option<f64> {
+    pub fn convergence_time(&self, since: f64) -> Option<f64> {
         let end = self.seen.last().map_or(since, |seen| seen.at);
         let count = self.schedule.as_ref().map_or(0, |schedule| schedule.nodes);
-        let nodes: Vec<usize> = (0..count).filter(|node| self.was(*node, end).0 == Was::Up).collect();
-        let mut last: BTreeMap<usize, &Seen> = BTreeMap::new();
-        let mut settled = None;
+        let nodes: Vec<usize> =
+            (0..count).filter(|node| self.process_state(*node, end).0 == ProcessState::Up).collect();
+        let mut last: BTreeMap<usize, &Observation> = BTreeMap::new();
+        let mut convergence_time = None;
         for seen in &self.seen {
             last.insert(seen.node, seen);
             if seen.at < since {
@@ -146,7 +148,7 @@
             }
             let mut all = nodes.iter().map(|node| last.get(node));
             let digest = last.get(&seen.node).map(|seen| &seen.digest);
-            let right = |seen: &&Seen| {
+            let right = |seen: &&Observation| {
                 let there = |node: &usize| {
                     seen.states.get(node).is_some_and(|state| state == "alive" || state == "suspect")
                 };
@@ -154,13 +156,13 @@
             };
             let good = nodes.contains(&seen.node)
                 && all.all(|seen| seen.is_some_and(|seen| Some(&seen.digest) == digest && right(seen)));
-            match (good, settled) {
-                (true, None) => settled = Some(seen.at),
-                (false, Some(_)) if nodes.contains(&seen.node) => settled = None,
+            match (good, convergence_time) {
+                (true, None) => convergence_time = Some(seen.at),
+                (false, Some(_)) if nodes.contains(&seen.node) => convergence_time = None,
                 _ => {}
             }
         }
-        settled.map(|at| at - since)
+        convergence_time.map(|at| at - since)
     }
 
     /// Nodes that ran and were held dead, and by whom: all but those for which there was a reason. A reason is that one
@@ -188,7 +190,7 @@
     /// From when to when each node drained for sure: it said so twice, with no word between that it did not.
     pub fn drained(&self) -> Vec<(usize, f64, f64)> {
         let mut spans: Vec<(usize, f64, f64)> = Vec::new();
-        let mut last: BTreeMap<usize, &Seen> = BTreeMap::new();
+        let mut last: BTreeMap<usize, &Observation> = BTreeMap::new();
         for seen in &self.seen {
             let before = last.insert(seen.node, seen);
             let Some(before) = before.filter(|before| before.drains && seen.drains) else { continue };
@@ -204,7 +206,7 @@
     }
 
     /// The most nodes that drained at once, and when that began.
-    pub fn most_drained(&self) -> (usize, f64) {
+    pub fn max_concurrent_drains(&self) -> (usize, f64) {
         let spans = self.drained();
         let at_once = |at: f64| spans.iter().filter(|(_, from, to)| *from <= at && at < *to).count();
         let begins = spans.iter().map(|(_, from, _)| (at_once(*from), *from));
@@ -212,12 +214,14 @@
     }
 
     /// What it shows, in a few lines: each end and when it was seen, when the fleet settled, deaths without a reason.
-    pub fn told(&self) -> String {
+    pub fn summary(&self) -> String {
         use std::fmt::Write as _;
         let mut text = String::new();
         let time = |at: Option<f64>| at.map_or("never".to_owned(), |at| format!("{at:.2} s"));
-        for act in self.acts.iter().filter(|act| matches!(act.what, What::Killed | What::Ended)) {
-            let (one, all) = self.end_seen(act.node, act.at);
+        for act in
+            self.acts.iter().filter(|act| matches!(act.what, NodeEventKind::Killed | NodeEventKind::Ended))
+        {
+            let (one, all) = self.end_detection_delays(act.node, act.at);
             let _ = writeln!(
                 text,
                 "n-{:04} {:?} at {:.1} s: seen by one after {}, by all after {}",
@@ -230,18 +234,21 @@
         }
         if let Some(schedule) = &self.schedule {
             let last = schedule.steps.iter().map(Step::until).fold(0.0, f64::max);
-            let _ =
-                writeln!(text, "settled after the last fault ({last:.1} s): {}", time(self.settled(last)));
+            let _ = writeln!(
+                text,
+                "settled after the last fault ({last:.1} s): {}",
+                time(self.convergence_time(last))
+            );
         }
         let _ = writeln!(text, "nodes held dead without a reason: {}", self.false_deaths(10.0).len());
         let _ =
-            writeln!(text, "nodes that came again without a reason: {}", self.needless_returns(10.0).len());
+            writeln!(text, "nodes that came again without a reason: {}", self.needless_rejoins(10.0).len());
         text
     }
 
     /// Nodes that came again, as another incarnation, without a reason: none of those in [`History::false_deaths`], and no
     /// cut that lay between them and anybody.
-    pub fn needless_returns(&self, grace: f64) -> Vec<(f64, usize)> {
+    pub fn needless_rejoins(&self, grace: f64) -> Vec<(f64, usize)> {
         let Some(schedule) = &self.schedule else { return Vec::new() };
         let mut last: BTreeMap<usize, u64> = BTreeMap::new();
         let mut found = Vec::new();
@@ -258,17 +265,22 @@
     }
 
     fn excused(&self, schedule: &Schedule, at: f64, node: usize, grace: f64) -> bool {
-        let (was, since) = self.was(node, at);
-        if was != Was::Up || self.last(node, What::Told, at).is_some_and(|told| told > since) {
+        let (process_state, since) = self.process_state(node, at);
+        if process_state != ProcessState::Up
+            || self.last(node, NodeEventKind::Told, at).is_some_and(|summary| summary > since)
+        {
             return true;
         }
         let recent = |what| self.last(node, what, at).is_some_and(|then| at - then < grace);
         let stopped = schedule.steps.iter().any(|step| {
             matches!(&step.fault, Fault::Stop { nodes, seconds }
-                if *seconds >= 1.0 && nodes.has(node, schedule.zones)
+                if *seconds >= 1.0 && nodes.includes(node, schedule.zones)
                 && step.at <= at && at < step.at + seconds + grace)
         });
-        recent(What::Killed) || recent(What::Ended) || stopped || recent(What::Started)
+        recent(NodeEventKind::Killed)
+            || recent(NodeEventKind::Ended)
+            || stopped
+            || recent(NodeEventKind::Started)
     }
 }
 
@@ -280,8 +292,8 @@
         if !how.cut || at < step.at || at >= step.at + seconds + grace {
             return false;
         }
-        let has = |who: &crate::faults::Who, node| who.has(node, schedule.zones);
-        (has(from, a) && has(to, b)) || (has(from, b) && (has(to, a) || !both))
+        let includes = |who: &crate::faults::NodeSet, node| who.includes(node, schedule.zones);
+        (includes(from, a) && includes(to, b)) || (includes(from, b) && (includes(to, a) || !both))
     };
     schedule.steps.iter().any(cuts)
 }
--- a/crates/standin/src/history/tests.rs
+++ b/crates/standin/src/history/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn seen(node: usize, at: f64, drains: bool) -> Seen {
-    Seen {
+fn seen(node: usize, at: f64, drains: bool) -> Observation {
+    Observation {
         at,
         asked: at - 0.01,
         node,
@@ -22,7 +22,7 @@
         ..History::default()
     };
     let turn = of(&[(0, 1.0, true), (0, 1.1, true), (1, 1.15, true), (0, 1.2, false), (1, 1.3, true)]);
-    assert_eq!((turn.most_drained().0, turn.drained().len()), (1, 2));
+    assert_eq!((turn.max_concurrent_drains().0, turn.drained().len()), (1, 2));
     let both = of(&[(0, 1.0, true), (1, 1.05, true), (0, 1.1, true), (1, 1.15, true), (0, 1.2, true)]);
-    assert_eq!(both.most_drained(), (2, 1.05));
+    assert_eq!(both.max_concurrent_drains(), (2, 1.05));
 }
--- a/crates/standin/src/plan.rs
+++ b/crates/standin/src/plan.rs
@@ -22,7 +22,7 @@
     /// How long it goes on.
     pub until_ms: f64,
     /// What goes wrong, in any order.
-    pub script: Vec<Act>,
+    pub script: Vec<ScriptEntry>,
 }
 
 /// A pool member.
@@ -53,18 +53,18 @@
 
 /// Something that is done to the site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Act {
+pub struct ScriptEntry {
     /// When.
     pub at_ms: f64,
     /// What.
     #[serde(flatten)]
-    pub what: What,
+    pub what: ScriptAction,
 }
 
 /// What can be done to a site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum ScriptAction {
     /// A member takes what it is sent and answers nothing.
     Silent {
         /// Which.
@@ -140,7 +140,7 @@
     /// The ten-minute incident that `hopmoor-ops demo` plays: two nodes, eight members; troubles alone, one after the
     /// other on one member, at once on several, and a node that is killed in the middle of them.
     pub fn ten_minutes() -> Plan {
-        let act = |at_s: f64, what| Act { at_ms: at_s * 1_000.0, what };
+        let act = |at_s: f64, what| ScriptEntry { at_ms: at_s * 1_000.0, what };
         let member = |n: u32| format!("s-{n}");
         let s = 1_000.0;
         Plan {
@@ -162,25 +162,25 @@
             life_ms: 30_000.0,
             until_ms: 600.0 * s,
             script: vec![
-                act(60.0, What::Silent { member: member(3), for_ms: 20.0 * s }),
-                act(120.0, What::Drain { member: member(5), for_ms: 12.0 * s }),
-                act(140.0, What::Start { member: member(5) }),
+                act(60.0, ScriptAction::Silent { member: member(3), for_ms: 20.0 * s }),
+                act(120.0, ScriptAction::Drain { member: member(5), for_ms: 12.0 * s }),
+                act(140.0, ScriptAction::Start { member: member(5) }),
                 // Three on one member: silent, drained while it is, started cold.
-                act(200.0, What::Silent { member: member(2), for_ms: 18.0 * s }),
-                act(210.0, What::Drain { member: member(2), for_ms: 8.0 * s }),
-                act(230.0, What::Start { member: member(2) }),
+                act(200.0, ScriptAction::Silent { member: member(2), for_ms: 18.0 * s }),
+                act(210.0, ScriptAction::Drain { member: member(2), for_ms: 8.0 * s }),
+                act(230.0, ScriptAction::Start { member: member(2) }),
                 // At once on several.
-                act(300.0, What::Slow { member: member(1), message_ms: 180.0, for_ms: 30.0 * s }),
-                act(305.0, What::Kill { member: member(7) }),
-                act(310.0, What::Silent { member: member(4), for_ms: 15.0 * s }),
-                act(312.0, What::Rush { factor: 2.0, for_ms: 8.0 * s }),
-                act(330.0, What::Start { member: member(7) }),
-                act(380.0, What::Refusing { member: member(6), for_ms: 10.0 * s }),
-                act(420.0, What::Deafen { node: "n-2".into(), for_ms: 6.0 * s }),
-                act(460.0, What::Silent { member: member(8), for_ms: 25.0 * s }),
-                act(470.0, What::KillNode { node: "n-1".into() }),
-                act(500.0, What::StartNode { node: "n-1".into() }),
-                act(560.0, What::EndNode { node: "n-2".into() }),
+                act(300.0, ScriptAction::Slow { member: member(1), message_ms: 180.0, for_ms: 30.0 * s }),
+                act(305.0, ScriptAction::Kill { member: member(7) }),
+                act(310.0, ScriptAction::Silent { member: member(4), for_ms: 15.0 * s }),
+                act(312.0, ScriptAction::Rush { factor: 2.0, for_ms: 8.0 * s }),
+                act(330.0, ScriptAction::Start { member: member(7) }),
+                act(380.0, ScriptAction::Refusing { member: member(6), for_ms: 10.0 * s }),
+                act(420.0, ScriptAction::Deafen { node: "n-2".into(), for_ms: 6.0 * s }),
+                act(460.0, ScriptAction::Silent { member: member(8), for_ms: 25.0 * s }),
+                act(470.0, ScriptAction::KillNode { node: "n-1".into() }),
+                act(500.0, ScriptAction::StartNode { node: "n-1".into() }),
+                act(560.0, ScriptAction::EndNode { node: "n-2".into() }),
             ],
         }
     }
@@ -217,19 +217,19 @@
         for act in &self.script {
             within("script.at_ms", act.at_ms, 0.0, self.until_ms)?;
             let (member, node, for_ms) = match &act.what {
-                What::Silent { member, for_ms }
-                | What::Slow { member, for_ms, .. }
-                | What::Refusing { member, for_ms }
-                | What::Drain { member, for_ms } => (Some(member), None, *for_ms),
-                What::Kill { member } | What::Start { member } => (Some(member), None, 1.0),
-                What::Rush { factor, for_ms } => {
+                ScriptAction::Silent { member, for_ms }
+                | ScriptAction::Slow { member, for_ms, .. }
+                | ScriptAction::Refusing { member, for_ms }
+                | ScriptAction::Drain { member, for_ms } => (Some(member), None, *for_ms),
+                ScriptAction::Kill { member } | ScriptAction::Start { member } => (Some(member), None, 1.0),
+                ScriptAction::Rush { factor, for_ms } => {
                     within("script.factor", *factor, 0.001, 1_000.0)?;
                     (None, None, *for_ms)
                 }
-                What::KillNode { node } | What::StartNode { node } | What::EndNode { node } => {
-                    (None, Some(node), 1.0)
-                }
-                What::Deafen { node, for_ms } => (None, Some(node), *for_ms),
+                ScriptAction::KillNode { node }
+                | ScriptAction::StartNode { node }
+                | ScriptAction::EndNode { node } => (None, Some(node), 1.0),
+                ScriptAction::Deafen { node, for_ms } => (None, Some(node), *for_ms),
             };
             within("script.for_ms", for_ms, 0.0, 7.0 * 86_400_000.0)?;
             if let Some(name) = member.filter(|name| !self.members.iter().any(|member| member.name == **name))
--- a/crates/standin/src/drawn.rs
+++ b/crates/standin/src/random.rs
@@ -1,6 +1,6 @@
 //! Schedules drawn from a seed, and a failing one made short.
 
-use crate::faults::{Fault, Manner, Schedule, Step, Who};
+use crate::faults::{Fault, LinkCondition, NodeSet, Schedule, Step};
 
 /// A small generator (splitmix64): the same schedule from one seed, on every machine and for good.
 struct Draws(u64);
@@ -36,7 +36,7 @@
 }
 
 /// Kinds of faults that can be drawn.
-pub const KINDS: [&str; 7] = ["kill", "term", "stop", "cut", "loss", "move", "drain"];
+pub const FAULT_KINDS: [&str; 7] = ["kill", "term", "stop", "cut", "loss", "move", "drain"];
 /// Between faults, in seconds.
 const PAUSE: (f64, f64) = (1.0, 6.0);
 /// Nothing begins in this last part of a schedule, so that it can settle.
@@ -47,9 +47,9 @@
     ///
     /// # Errors
     /// If a kind is not known.
-    pub fn drawn(seed: u64, nodes: usize, seconds: f64, kinds: &[String]) -> Result<Schedule, String> {
-        if let Some(other) = kinds.iter().find(|kind| !KINDS.contains(&kind.as_str())) {
-            return Err(format!("no fault '{other}': known are {}", KINDS.join(", ")));
+    pub fn random(seed: u64, nodes: usize, seconds: f64, kinds: &[String]) -> Result<Schedule, String> {
+        if let Some(other) = kinds.iter().find(|kind| !FAULT_KINDS.contains(&kind.as_str())) {
+            return Err(format!("no fault '{other}': known are {}", FAULT_KINDS.join(", ")));
         }
         let mut draws = Draws(seed);
         let mut steps: Vec<Step> = Vec::new();
@@ -61,33 +61,33 @@
             let some = draws.some(nodes, nodes.div_ceil(4));
             let fault = match kind.as_str() {
                 "kill" | "term" => {
-                    let back = Fault::Start { nodes: Who::Only(some.clone()) };
+                    let back = Fault::Start { nodes: NodeSet::Only(some.clone()) };
                     steps.push(Step { at: at + lasts.max(4.0), fault: back });
-                    let nodes = Who::Only(some);
+                    let nodes = NodeSet::Only(some);
                     if kind == "kill" { Fault::Kill { nodes } } else { Fault::Term { nodes } }
                 }
-                "stop" => Fault::Stop { nodes: Who::Only(some), seconds: lasts },
+                "stop" => Fault::Stop { nodes: NodeSet::Only(some), seconds: lasts },
                 "move" => Fault::Move { node: draws.below(nodes) },
                 "drain" => {
-                    let back = Fault::Drain { nodes: Who::Only(some.clone()), on: false };
+                    let back = Fault::Drain { nodes: NodeSet::Only(some.clone()), on: false };
                     steps.push(Step { at: at + lasts, fault: back });
-                    Fault::Drain { nodes: Who::Only(some), on: true }
+                    Fault::Drain { nodes: NodeSet::Only(some), on: true }
                 }
                 "cut" => Fault::Link {
-                    from: Who::Only(some.clone()),
-                    to: Who::But(some),
+                    from: NodeSet::Only(some.clone()),
+                    to: NodeSet::But(some),
                     both: draws.below(3) > 0,
-                    how: Manner { cut: true, ..Manner::default() },
+                    how: LinkCondition { cut: true, ..LinkCondition::default() },
                     seconds: lasts,
                 },
                 _ => {
-                    let how = Manner {
+                    let how = LinkCondition {
                         loss: draws.between(0.02, 0.25),
                         jitter_ms: draws.between(0.0, 100.0),
                         twice: 0.05,
-                        ..Manner::default()
+                        ..LinkCondition::default()
                     };
-                    Fault::Link { from: Who::All, to: Who::All, both: false, how, seconds: lasts }
+                    Fault::Link { from: NodeSet::All, to: NodeSet::All, both: false, how, seconds: lasts }
                 }
             };
             steps.push(Step { at, fault });
@@ -102,7 +102,7 @@
 
     /// A schedule without the steps that a failure does not need: those are left out, one by one, as long as it still
     /// fails.
-    pub fn shortened(self, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
+    pub fn minimized(self, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
         let mut short = self;
         let mut at = 0;
         while at < short.steps.len() {
--- a/crates/standin/src/sockets.rs
+++ b/crates/standin/src/sockets.rs
@@ -1,5 +1,5 @@
 //! Members and discovery on loopback, for tests and measurements with the real program. They run on one thread of
-//! their own, and end with the [`Stage`].
+//! their own, and end with the [`StandInRuntime`].
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -17,25 +17,25 @@
 const LONGEST: u64 = 16 * 1024;
 
 /// The thread that stand-ins run on.
-pub struct Stage {
+pub struct StandInRuntime {
     handle: Handle,
     end: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Stage {
+impl StandInRuntime {
     /// Begins a thread.
     ///
     /// # Errors
     /// If there is none to be had.
-    pub fn new() -> io::Result<Stage> {
+    pub fn new() -> io::Result<StandInRuntime> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let handle = runtime.handle().clone();
         let (end, ended) = oneshot::channel();
         let thread = std::thread::Builder::new().name("stand-ins".into()).spawn(move || {
             let _ = runtime.block_on(ended);
         })?;
-        Ok(Stage { handle, end: Some(end), thread: Some(thread) })
+        Ok(StandInRuntime { handle, end: Some(end), thread: Some(thread) })
     }
 
     /// What else is to run on the thread.
@@ -52,7 +52,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for StandInRuntime {
     fn drop(&mut self) {
         self.end.take();
         if let Some(thread) = self.thread.take() {
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// If it can't.
-    pub fn start(stage: &Stage, receipt: u32) -> io::Result<Member> {
+    pub fn start(stage: &StandInRuntime, receipt: u32) -> io::Result<Member> {
         let (listener, address) = stage.listen()?;
         let manner = Arc::new(Manner::default());
         manner.message.store(2_000, Relaxed);
@@ -197,7 +197,7 @@
 
 /// A member as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct DiscoveryEntry {
     /// Where it listens.
     pub dial: String,
     /// `Ready`, `Terminating` or `Gone`.
@@ -208,15 +208,15 @@
 
 /// How discovery delivers its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Delivery {
+pub struct ResponseBehavior {
     /// An answer with news begins so long after it is due: discovery is crowded.
-    pub begins_after: Duration,
+    pub start_delay: Duration,
     /// And is written in even pieces over this time: discovery is slow.
     pub over: Duration,
     /// It takes calls and answers none.
     pub silent: bool,
     /// A call that names a version is answered with what has changed since, not with the whole list.
-    pub changes: bool,
+    pub incremental: bool,
 }
 
 /// Pieces in which a slow answer is written.
@@ -226,7 +226,7 @@
 #[derive(Default)]
 struct Held {
     /// The members, with the version in which each changed last.
-    list: BTreeMap<String, (u64, Listed)>,
+    list: BTreeMap<String, (u64, DiscoveryEntry)>,
     /// The last whole list that was written, and its version: with thousands of members it is long in the making.
     whole: Option<(u64, Arc<str>)>,
 }
@@ -238,7 +238,7 @@
     address: SocketAddr,
     list: Entries,
     seq: watch::Sender<u64>,
-    delivery: Arc<Mutex<Delivery>>,
+    delivery: Arc<Mutex<ResponseBehavior>>,
     written: Arc<AtomicU64>,
 }
 
@@ -247,9 +247,9 @@
     ///
     /// # Errors
     /// If it can't.
-    pub fn start(stage: &Stage) -> io::Result<Discovery> {
+    pub fn start(stage: &StandInRuntime) -> io::Result<Discovery> {
         let (listener, address) = stage.listen()?;
-        let (seq, changes) = watch::channel(1);
+        let (seq, incremental) = watch::channel(1);
         let (list, delivery, written) = (Entries::default(), Arc::default(), Arc::default());
         let discovery = Discovery { address, list, seq, delivery, written };
         let (list, delivery, written) =
@@ -257,14 +257,14 @@
         stage.handle.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (list, delivery, written) = (list.clone(), delivery.clone(), written.clone());
-                tokio::spawn(answer(stream, list, changes.clone(), delivery, written));
+                tokio::spawn(answer(stream, list, incremental.clone(), delivery, written));
             }
         });
         Ok(discovery)
     }
 
     /// How it delivers its answers from now on.
-    pub fn deliver(&self, delivery: Delivery) {
+    pub fn set_response_behavior(&self, delivery: ResponseBehavior) {
         *self.delivery.lock().unwrap_or_else(PoisonError::into_inner) = delivery;
     }
 
@@ -280,11 +280,11 @@
 
     /// Puts a member on the list, or changes it; watches hear of it at once.
     pub fn set(&self, name: &str, dial: &str, health: &'static str) {
-        self.set_all(&[(name.to_owned(), Listed { dial: dial.to_owned(), health, born_ms: 0.0 })]);
+        self.set_all(&[(name.to_owned(), DiscoveryEntry { dial: dial.to_owned(), health, born_ms: 0.0 })]);
     }
 
     /// Puts many members on the list, or changes them, in one version.
-    pub fn set_all(&self, members: &[(String, Listed)]) {
+    pub fn set_all(&self, members: &[(String, DiscoveryEntry)]) {
         let seq = *self.seq.borrow() + 1;
         let mut held = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         for (name, listed) in members {
@@ -298,8 +298,8 @@
 async fn answer(
     stream: TcpStream,
     list: Entries,
-    mut changes: watch::Receiver<u64>,
-    delivery: Arc<Mutex<Delivery>>,
+    mut incremental: watch::Receiver<u64>,
+    delivery: Arc<Mutex<ResponseBehavior>>,
     written: Arc<AtomicU64>,
 ) -> io::Result<()> {
     let (from, mut to) = stream.into_split();
@@ -319,19 +319,19 @@
         };
         let since = number("since=");
         if let (Some(since), Some(wait)) = (since, number("timeout_ms=")) {
-            let newer = changes.wait_for(|seq| *seq > since);
+            let newer = incremental.wait_for(|seq| *seq > since);
             let _ = tokio::time::timeout(Duration::from_millis(wait.min(60_000)), newer).await;
         }
         let now = || *delivery.lock().unwrap_or_else(PoisonError::into_inner);
         if now().silent {
             std::future::pending::<()>().await;
         }
-        let seq = *changes.borrow();
+        let seq = *incremental.borrow();
         let news = since.is_none_or(|since| seq > since);
         if news {
-            tokio::time::sleep(now().begins_after).await;
+            tokio::time::sleep(now().start_delay).await;
         }
-        let from = since.filter(|since| now().changes && *since > 1);
+        let from = since.filter(|since| now().incremental && *since > 1);
         let body = list.lock().unwrap_or_else(PoisonError::into_inner).body(seq, news, from);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         written.fetch_add(answer.len() as u64, Relaxed);
@@ -372,13 +372,13 @@
 }
 
 /// The whole list, or what has changed after the version `from`; nobody where there are no news.
-fn body(seq: u64, news: bool, from: Option<u64>, list: &BTreeMap<String, (u64, Listed)>) -> Value {
-    let host = |(name, (_, listed)): (&String, &(u64, Listed))| {
+fn body(seq: u64, news: bool, from: Option<u64>, list: &BTreeMap<String, (u64, DiscoveryEntry)>) -> Value {
+    let host = |(name, (_, listed)): (&String, &(u64, DiscoveryEntry))| {
         json!({"host": name, "dial": listed.dial, "site": "a", "block": 0, "health": listed.health,
             "share": 1.0, "born_ms": listed.born_ms})
     };
     // The whole list has no one that is gone.
-    let wanted = |(_, (changed, listed)): &(&String, &(u64, Listed))| {
+    let wanted = |(_, (changed, listed)): &(&String, &(u64, DiscoveryEntry))| {
         news && from.map_or(listed.health != "Gone", |from| *changed > from)
     };
     let hosts: Vec<Value> = list.iter().filter(wanted).map(host).collect();
--- a/crates/standin/src/truth.rs
+++ b/crates/standin/src/truth.rs
@@ -4,7 +4,7 @@
 
 /// The truth of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Truth {
+pub struct GroundTruth {
     /// When the run began, in Unix milliseconds.
     pub began: f64,
     /// Worth of all seconds that clients wanted.
@@ -14,7 +14,7 @@
     /// Clients that wanted a connection.
     pub clients: u64,
     /// What was done, when, in milliseconds from the start.
-    pub changes: Vec<Change>,
+    pub changes: Vec<ConditionChange>,
     /// Answers that clients got, by what they were.
     pub rejected: u64,
     /// Transactions that failed.
@@ -25,13 +25,13 @@
 
 /// A change that the script made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Change {
+pub struct ConditionChange {
     /// When, in milliseconds from the start.
     pub at_ms: f64,
     /// To which member or node.
     pub subject: String,
     /// What it was from then on.
-    pub what: Kind,
+    pub what: Condition,
     /// Whether it began, or ended.
     pub begins: bool,
 }
@@ -39,7 +39,7 @@
 /// Kinds of change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum Condition {
     /// It answers nothing.
     Silent,
     /// Its messages are late.
@@ -58,7 +58,7 @@
     Deaf,
 }
 
-impl Truth {
+impl GroundTruth {
     /// Part of the wanted worth that was not served.
     pub fn share_lost(&self) -> f64 {
         if self.wanted > 0.0 { 1.0 - self.served / self.wanted } else { 0.0 }
--- a/crates/world/examples/agree_figures.rs
+++ b/crates/world/examples/agree_figures.rs
@@ -18,11 +18,12 @@
     let arg_or = |index: usize, default: u64| args.get(index).copied().unwrap_or(default);
     let (schedules, first_seed, nodes) = (arg_or(0, 100), arg_or(1, 0), arg_or(2, 12) as usize);
     let (voters, budget) = (arg_or(3, 5) as usize, arg_or(4, 2) as u32);
-    let kinds: Vec<String> = hopmoor_standin::drawn::KINDS.iter().map(|kind| (*kind).to_owned()).collect();
+    let kinds: Vec<String> =
+        hopmoor_standin::random::FAULT_KINDS.iter().map(|kind| (*kind).to_owned()).collect();
     let started = Instant::now();
     let (mut over_budget, mut used, mut without_drain, mut at_budget) = (0, 0, 0, 0);
     for seed in first_seed..first_seed + schedules {
-        let Ok(schedule) = Schedule::drawn(seed, nodes, SCHEDULE_SECONDS, &kinds) else { continue };
+        let Ok(schedule) = Schedule::random(seed, nodes, SCHEDULE_SECONDS, &kinds) else { continue };
         let schedule = Schedule { voters, ..schedule };
         let result = run_drains(&schedule, budget);
         used += result.used;
@@ -30,7 +31,7 @@
         at_budget += u64::from(result.drained == result.budget);
         if result.exceeds_budget() {
             over_budget += 1;
-            let short = schedule.shortened(|shorter| run_drains(shorter, budget).exceeds_budget());
+            let short = schedule.minimized(|shorter| run_drains(shorter, budget).exceeds_budget());
             println!("seed {seed}: {result:?}: {}", serde_json::to_string(&short).unwrap_or_default());
         }
     }
--- a/crates/world/examples/fleet_figures.rs
+++ b/crates/world/examples/fleet_figures.rs
@@ -4,10 +4,10 @@
 //! cargo run --release -p hopmoor-world --example fleet_figures -- MODE [nodes] [seeds] [seconds]
 //! ```
 //!
-//! `MODE` is `crash`, `heal`, `rest`, `memory`, `drawn` or `loss`. For `drawn`, the last argument is the
+//! `MODE` is `crash`, `heal`, `rest`, `memory`, `random` or `loss`. For `random`, the last argument is the
 //! first seed.
 
-use hopmoor_standin::faults::{Fault, Manner, Schedule, Step, Who};
+use hopmoor_standin::faults::{Fault, LinkCondition, NodeSet, Schedule, Step};
 use hopmoor_world::fleet::{FleetSimulation, Options};
 use std::time::Instant;
 
@@ -33,10 +33,10 @@
     let (mut by_one, mut by_all) = (Vec::new(), Vec::new());
     for seed in 0..seeds {
         let victim = seed as usize % nodes;
-        let steps = vec![Step { at: 10.0, fault: Fault::Kill { nodes: Who::Only(vec![victim]) } }];
+        let steps = vec![Step { at: 10.0, fault: Fault::Kill { nodes: NodeSet::Only(vec![victim]) } }];
         let options = Options { sample_interval_ms: SAMPLE_INTERVAL_MS, seed_nodes: 3 };
         let history = FleetSimulation::new(schedule(nodes, 25.0, seed, steps), options).run_to_end();
-        let (first, last) = history.end_seen(victim, 10.0);
+        let (first, last) = history.end_detection_delays(victim, 10.0);
         by_one.push(first.unwrap_or(f64::INFINITY));
         by_all.push(last.unwrap_or(f64::INFINITY));
     }
@@ -58,10 +58,10 @@
         };
         let one_side: Vec<usize> = (0..cut_off.max(1)).collect();
         let partition = Fault::Link {
-            from: Who::Only(one_side.clone()),
-            to: Who::But(one_side),
+            from: NodeSet::Only(one_side.clone()),
+            to: NodeSet::But(one_side),
             both: true,
-            how: Manner { cut: true, ..Manner::default() },
+            how: LinkCondition { cut: true, ..LinkCondition::default() },
             seconds: 30.0,
         };
         let mut simulation = FleetSimulation::new(
@@ -130,11 +130,11 @@
     for seed in 0..seeds {
         let started = Instant::now();
         let lossy: Vec<usize> = (0..nodes).filter(|node| node % 20 == 7).collect();
-        let how = Manner { loss: 0.25, ..Manner::default() };
-        let link = |from: Who, to: Who| Fault::Link { from, to, both: false, how, seconds };
+        let how = LinkCondition { loss: 0.25, ..LinkCondition::default() };
+        let link = |from: NodeSet, to: NodeSet| Fault::Link { from, to, both: false, how, seconds };
         let steps = vec![
-            Step { at: 5.0, fault: link(Who::Only(lossy.clone()), Who::All) },
-            Step { at: 5.0, fault: link(Who::All, Who::Only(lossy)) },
+            Step { at: 5.0, fault: link(NodeSet::Only(lossy.clone()), NodeSet::All) },
+            Step { at: 5.0, fault: link(NodeSet::All, NodeSet::Only(lossy)) },
         ];
         let mut simulation = FleetSimulation::new(schedule(nodes, seconds, seed, steps), UNSAMPLED);
         let (mut max_held_dead, mut now) = (0, 5.0);
@@ -160,13 +160,13 @@
     let history = FleetSimulation::new(schedule.clone(), Options { sample_interval_ms: 200, seed_nodes: 4 })
         .run_to_end();
     let faults_end = schedule.steps.iter().map(Step::until).fold(0.0, f64::max);
-    let (false_deaths, needless_returns) = (history.false_deaths(GRACE_S), history.needless_returns(GRACE_S));
-    match history.settled(faults_end) {
+    let (false_deaths, needless_rejoins) = (history.false_deaths(GRACE_S), history.needless_rejoins(GRACE_S));
+    match history.convergence_time(faults_end) {
         _ if !false_deaths.is_empty() => {
             Some(format!("held dead without a reason: {:?}", false_deaths.first()))
         }
-        _ if !needless_returns.is_empty() => {
-            Some(format!("came again without a reason: {:?}", needless_returns.first()))
+        _ if !needless_rejoins.is_empty() => {
+            Some(format!("came again without a reason: {:?}", needless_rejoins.first()))
         }
         Some(seconds) if seconds <= MAX_SETTLE_S => None,
         seconds => Some(format!("settled after {seconds:?}")),
@@ -179,14 +179,15 @@
 const MAX_SETTLE_S: f64 = 15.0;
 
 /// Runs randomly drawn schedules. Each that breaks a rule is shortened to fewer steps and printed.
-fn drawn(nodes: usize, seeds: u64, first_seed: u64) {
-    let kinds: Vec<String> = hopmoor_standin::drawn::KINDS.iter().map(|kind| (*kind).to_owned()).collect();
+fn random(nodes: usize, seeds: u64, first_seed: u64) {
+    let kinds: Vec<String> =
+        hopmoor_standin::random::FAULT_KINDS.iter().map(|kind| (*kind).to_owned()).collect();
     let mut failed = 0;
     for seed in first_seed..first_seed + seeds {
-        let Ok(schedule) = Schedule::drawn(seed, nodes, 80.0, &kinds) else { continue };
+        let Ok(schedule) = Schedule::random(seed, nodes, 80.0, &kinds) else { continue };
         if let Some(found) = violation(&schedule) {
             failed += 1;
-            let short = schedule.shortened(|shorter| violation(shorter).is_some());
+            let short = schedule.minimized(|shorter| violation(shorter).is_some());
             let found_in_short = violation(&short).unwrap_or_default();
             println!(
                 "seed {seed}: {found}; {found_in_short} in the short one: {}",
@@ -207,7 +208,7 @@
         Some("heal") => heal(nodes, seeds),
         Some("rest") => rest(nodes),
         Some("memory") => memory(nodes),
-        Some("drawn") => drawn(nodes, seeds, arg_or(3, 0.0) as u64),
+        Some("drawn") => random(nodes, seeds, arg_or(3, 0.0) as u64),
         Some("loss") => loss(nodes, seeds, arg_or(3, 600.0)),
         _ => eprintln!("crash|heal|rest|memory|drawn|loss [nodes] [seeds] [seconds]"),
     }
--- a/crates/world/src/clients.rs
+++ b/crates/world/src/clients.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Adds to the [`Truth`] what a client has wanted, and was served, since it was last accounted for.
+    /// Adds to the [`GroundTruth`] what a client has wanted, and was served, since it was last accounted for.
     pub(crate) fn account(&mut self, client_id: u64) {
         let Some(client) = self.clients.get_mut(&client_id) else { return };
         let class = &self.plan.classes[client.class];
--- a/crates/world/src/fleet.rs
+++ b/crates/world/src/fleet.rs
@@ -8,8 +8,8 @@
 
 use hopmoor_fleet::{Action, Exchange, Fleet, Id, Millis, NodeInfo, Readiness, State};
 use hopmoor_seal::{KEY_BYTES, Keys};
-use hopmoor_standin::faults::{Fault, Manner, Schedule};
-use hopmoor_standin::history::{Act, History, Seen, Was, What};
+use hopmoor_standin::faults::{Fault, LinkCondition, Schedule};
+use hopmoor_standin::history::{History, NodeEvent, NodeEventKind, Observation, ProcessState};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -180,7 +180,7 @@
         for node in 0..simulation.schedule.nodes {
             // Nodes that start later also get a pid, and so an address: other nodes may have them as seeds.
             simulation.processes.push(None);
-            if simulation.schedule.starts(node) {
+            if simulation.schedule.runs_initially(node) {
                 simulation.start_process(node, node);
             }
         }
@@ -209,9 +209,9 @@
         self.queue.push(Reverse((at.max(self.now), self.last_id)));
     }
 
-    fn record_act(&mut self, node: usize, what: What) {
+    fn record_act(&mut self, node: usize, what: NodeEventKind) {
         let at = self.seconds();
-        self.history.acts.push(Act { at, node, what });
+        self.history.acts.push(NodeEvent { at, node, what });
     }
 
     fn start_process(&mut self, node: usize, pid: usize) {
@@ -253,7 +253,7 @@
         self.processes[pid] = Some(process);
         self.pid_by_address.insert(address, pid);
         self.pids_by_node[node].push(pid);
-        self.record_act(node, What::Started);
+        self.record_act(node, NodeEventKind::Started);
         self.run_actions(pid);
         if has_agreement {
             self.schedule_event(self.now + hopmoor_agree::voter::TICK_MS, Event::AgreementTick(pid));
@@ -274,14 +274,14 @@
     }
 
     /// The receiving pid, and the faults on the link to it now. `None` if no process has that address.
-    fn link(&self, from: usize, to: SocketAddr) -> Option<(usize, Manner)> {
+    fn link(&self, from: usize, to: SocketAddr) -> Option<(usize, LinkCondition)> {
         let to = *self.pid_by_address.get(&to)?;
         let sender = self.processes.get(from)?.as_ref()?.node;
         let receiver = self.processes.get(to)?.as_ref()?.node;
         Some((to, self.schedule.link(self.seconds(), sender, receiver)))
     }
 
-    fn link_delay_ms(&mut self, manner: &Manner) -> Millis {
+    fn link_delay_ms(&mut self, manner: &LinkCondition) -> Millis {
         let jitter = if manner.jitter_ms > 0.0 { self.rng.random_range(0.0..manner.jitter_ms) } else { 0.0 };
         (ONE_WAY_MS + manner.delay_ms + jitter + self.rng.random::<f64>()) as Millis
     }
@@ -401,8 +401,8 @@
     fn apply_step(&mut self, index: usize) {
         let Some(step) = self.schedule.steps.get(index).cloned() else { return };
         let zones = self.schedule.zones;
-        let selected = |who: &hopmoor_standin::faults::Who| -> Vec<usize> {
-            (0..self.schedule.nodes).filter(|node| who.has(*node, zones)).collect()
+        let selected = |who: &hopmoor_standin::faults::NodeSet| -> Vec<usize> {
+            (0..self.schedule.nodes).filter(|node| who.includes(*node, zones)).collect()
         };
         match step.fault {
             Fault::Start { nodes } => {
@@ -419,7 +419,7 @@
             }
             Fault::Term { nodes } => {
                 for node in selected(&nodes) {
-                    self.record_act(node, What::Told);
+                    self.record_act(node, NodeEventKind::Told);
                     for pid in self.pids_by_node[node].clone() {
                         if let Some(Some(process)) = self.processes.get_mut(pid) {
                             process.fleet.leave(self.now);
@@ -427,7 +427,7 @@
                         self.run_actions(pid);
                         self.remove_process(pid);
                     }
-                    self.record_act(node, What::Ended);
+                    self.record_act(node, NodeEventKind::Ended);
                 }
             }
             Fault::Stop { nodes, seconds } => {
@@ -439,7 +439,7 @@
                         }
                         self.schedule_event(at, Event::Continue(pid));
                     }
-                    self.record_act(node, What::Stopped);
+                    self.record_act(node, NodeEventKind::Stopped);
                 }
             }
             // Looked up for each datagram and frame; see `link`.
@@ -502,7 +502,7 @@
         for pid in self.pids_by_node[node].clone() {
             self.remove_process(pid);
         }
-        self.record_act(node, What::Killed);
+        self.record_act(node, NodeEventKind::Killed);
     }
 
     fn rotate_keys(&mut self, stage: KeyStage) {
@@ -539,7 +539,7 @@
             let itself_ready = Some(process.ready == Readiness::Serving && view.superseded_by.is_none());
             let sharing = view.sharing;
             let incarnation = view.id.incarnation;
-            self.history.seen.push(Seen {
+            self.history.seen.push(Observation {
                 at,
                 node,
                 digest,
@@ -588,7 +588,7 @@
                         let _ = process.fleet.datagram(self.now, &bytes);
                     }
                     process.fleet.tick(self.now);
-                    self.record_act(node, What::Continued);
+                    self.record_act(node, NodeEventKind::Continued);
                     self.run_actions(pid);
                 }
                 Event::Flood { node, until, interval_ms, at } => {
@@ -644,8 +644,8 @@
     pub fn running_but_held_dead(&self) -> usize {
         let is_running = |id: &Id| {
             self.node_by_name.get(&*id.name).is_some_and(|node| {
-                let (was, _) = self.history.was(*node, self.seconds());
-                was == Was::Up
+                let (process_state, _) = self.history.process_state(*node, self.seconds());
+                process_state == ProcessState::Up
             })
         };
         let held_dead = |process: &Process| {
--- a/crates/world/src/fleet/agree.rs
+++ b/crates/world/src/fleet/agree.rs
@@ -8,7 +8,7 @@
 use hopmoor_fleet::identity::Millis;
 use hopmoor_fleet::{NodeInfo, Readiness};
 use hopmoor_standin::faults::Schedule;
-use hopmoor_standin::history::Was;
+use hopmoor_standin::history::ProcessState;
 use rand::Rng;
 use std::collections::BTreeMap;
 
@@ -127,10 +127,10 @@
     fn known_dead(&self) -> usize {
         let now = self.seconds();
         let dead = |node: &usize| {
-            let (was, since) = self.history.was(*node, now);
-            was == Was::Down && now - since > DEAD_KNOWN_AFTER_S
+            let (process_state, since) = self.history.process_state(*node, now);
+            process_state == ProcessState::Down && now - since > DEAD_KNOWN_AFTER_S
         };
-        (0..self.schedule.nodes).filter(|node| self.schedule.starts(*node)).filter(dead).count()
+        (0..self.schedule.nodes).filter(|node| self.schedule.runs_initially(*node)).filter(dead).count()
     }
 
     /// Asks for a permit to drain, or with `on` false returns it and serves again.
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -21,8 +21,8 @@
 use hopmoor::pool::{Member as PoolMember, PoolList};
 use hopmoor::{ClassId, Millis, Outcome, Phase, Report, Settings, Tenant, TenantId};
 use hopmoor_record::{Header, RealDisk, Retention, Writer};
-use hopmoor_standin::plan::{self, Act, Plan, What};
-use hopmoor_standin::truth::{Change, Kind, Truth};
+use hopmoor_standin::plan::{self, Plan, ScriptAction, ScriptEntry};
+use hopmoor_standin::truth::{Condition, ConditionChange, GroundTruth};
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -32,7 +32,7 @@
 use std::path::{Path, PathBuf};
 
 /// Unix time, in milliseconds, at which every run starts.
-pub const BEGAN: Millis = 1_790_000_000_000.0;
+pub const RUN_START_UNIX_MS: Millis = 1_790_000_000_000.0;
 /// Delay until a change of the pool list, or an answer to a request for it, reaches a node.
 const LIST_DELAY_MS: Millis = 200.0;
 /// Time that a killed member stays on the pool list.
@@ -160,7 +160,7 @@
     arrival: ArrivalKind,
     /// Number of requests that it has sent, to drop events meant for an earlier connection.
     request_number: u32,
-    /// Time up to which its wanted and served seconds are in [`Truth`].
+    /// Time up to which its wanted and served seconds are in [`GroundTruth`].
     accounted_until: Millis,
 }
 
@@ -201,7 +201,7 @@
     /// Factor on the arrival rate of clients; over 1 during a rush.
     arrival_factor: f64,
     /// What has happened so far.
-    truth: Truth,
+    truth: GroundTruth,
 }
 
 /// Runs a plan to its end and returns what really happened. The nodes write records into `folder/NODE` if
@@ -209,7 +209,7 @@
 ///
 /// # Errors
 /// If the record folders cannot be created or written to.
-pub fn play(plan: &Plan, folder: Option<&Path>) -> io::Result<Truth> {
+pub fn simulate(plan: &Plan, folder: Option<&Path>) -> io::Result<GroundTruth> {
     let mut site = Site::new(plan.clone(), folder)?;
     site.run();
     Ok(site.truth)
@@ -239,7 +239,7 @@
             config: site_config(&plan),
             record_folder: folder.map(Path::to_owned),
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
-            now: BEGAN,
+            now: RUN_START_UNIX_MS,
             last_event_id: 0,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
@@ -248,7 +248,7 @@
             clients: BTreeMap::new(),
             last_client: 0,
             arrival_factor: 1.0,
-            truth: Truth { began: BEGAN, ..Truth::default() },
+            truth: GroundTruth { began: RUN_START_UNIX_MS, ..GroundTruth::default() },
             plan,
         };
         for name in site.plan.nodes.clone() {
@@ -268,21 +268,21 @@
             site.start_node(node)?;
         }
         for (index, act) in site.plan.script.clone().into_iter().enumerate() {
-            site.schedule_event(BEGAN + act.at_ms, Event::ActBegins(index));
+            site.schedule_event(RUN_START_UNIX_MS + act.at_ms, Event::ActBegins(index));
         }
-        site.schedule_event(BEGAN, Event::ClientArrives);
+        site.schedule_event(RUN_START_UNIX_MS, Event::ClientArrives);
         Ok(site)
     }
 
     /// What really happened so far.
-    pub fn truth(&self) -> &Truth {
+    pub fn truth(&self) -> &GroundTruth {
         &self.truth
     }
 
     fn schedule_event(&mut self, at: Millis, event: Event) {
         self.last_event_id += 1;
         // The queue needs a total order, which floats lack: whole microseconds from the start.
-        let micros = ((at - BEGAN).max(0.0) * 1_000.0) as u64;
+        let micros = ((at - RUN_START_UNIX_MS).max(0.0) * 1_000.0) as u64;
         self.queue.push(Reverse((micros, self.last_event_id)));
         self.events.insert(self.last_event_id, event);
     }
@@ -293,12 +293,12 @@
 
     /// Runs the simulation to the end of the plan.
     pub fn run(&mut self) {
-        let end = BEGAN + self.plan.until_ms;
+        let end = RUN_START_UNIX_MS + self.plan.until_ms;
         loop {
             let next_event_at = self
                 .queue
                 .peek()
-                .map_or(f64::INFINITY, |Reverse((micros, _))| BEGAN + *micros as f64 / 1_000.0);
+                .map_or(f64::INFINITY, |Reverse((micros, _))| RUN_START_UNIX_MS + *micros as f64 / 1_000.0);
             let brokers = self
                 .nodes
                 .iter()
--- a/crates/world/src/members.rs
+++ b/crates/world/src/members.rs
@@ -59,12 +59,12 @@
         }
         self.members[index].connections = 0;
         let name = self.members[index].name.clone();
-        self.record_change(name, Kind::Gone, true);
+        self.record_change(name, Condition::Gone, true);
     }
 
-    /// Records in the [`Truth`] that something about a member or node begins or ends.
-    pub(crate) fn record_change(&mut self, subject: String, what: Kind, begins: bool) {
-        let at_ms = self.now - BEGAN;
-        self.truth.changes.push(Change { at_ms, subject, what, begins });
+    /// Records in the [`GroundTruth`] that something about a member or node begins or ends.
+    pub(crate) fn record_change(&mut self, subject: String, what: Condition, begins: bool) {
+        let at_ms = self.now - RUN_START_UNIX_MS;
+        self.truth.changes.push(ConditionChange { at_ms, subject, what, begins });
     }
 }
--- a/crates/world/src/nodes.rs
+++ b/crates/world/src/nodes.rs
@@ -32,7 +32,7 @@
         }
         self.nodes[index].broker = Some(broker);
         self.with_broker(index, |broker, _| broker.set_ready());
-        self.record_change(change_subject(&self.nodes[index].name), Kind::Running, true);
+        self.record_change(change_subject(&self.nodes[index].name), Condition::Running, true);
         Ok(())
     }
 
@@ -53,7 +53,7 @@
         for client_id in clients {
             self.reconnect_after_break(client_id, 200.0, 1_500.0);
         }
-        self.record_change(change_subject(&self.nodes[index].name), Kind::Running, false);
+        self.record_change(change_subject(&self.nodes[index].name), Condition::Running, false);
     }
 
     /// Ends a node's process in order: its records are complete and end with its stop.
@@ -68,7 +68,7 @@
         (node.broker, node.writer) = (None, None);
         let clients: Vec<u64> = std::mem::take(&mut node.clients).into_values().collect();
         clients.into_iter().for_each(|client_id| self.reconnect_after_break(client_id, 62.0, 1_700.0));
-        self.record_change(change_subject(&self.nodes[index].name), Kind::Running, false);
+        self.record_change(change_subject(&self.nodes[index].name), Condition::Running, false);
     }
 
     /// Writes the records that a node's broker has made since the last write. A killed node writes them only
--- a/crates/world/tests/agree.rs
+++ b/crates/world/tests/agree.rs
@@ -2,17 +2,17 @@
 //! `hopmoor-agree`, with Raft among the voters, and the real fleet view. To run thousands of schedules:
 //! `cargo run --release -p hopmoor-world --example agree_figures`.
 
-use hopmoor_standin::drawn::KINDS;
 use hopmoor_standin::faults::Schedule;
+use hopmoor_standin::random::FAULT_KINDS;
 use hopmoor_world::fleet::run_drains;
 
 #[test]
 fn drains_stay_within_the_budget_under_drawn_faults() {
-    let kinds: Vec<String> = KINDS.iter().map(|kind| (*kind).to_owned()).collect();
+    let kinds: Vec<String> = FAULT_KINDS.iter().map(|kind| (*kind).to_owned()).collect();
     let mut used = 0;
     // The listed seeds once failed: a node acted on a delayed grant that was made to its earlier incarnation.
     for seed in (0..15).chain([673, 953, 957, 2815, 5105, 5798]) {
-        let schedule = Schedule::drawn(seed, 12, 60.0, &kinds).unwrap();
+        let schedule = Schedule::random(seed, 12, 60.0, &kinds).unwrap();
         let schedule = Schedule { voters: 5, ..schedule };
         let result = run_drains(&schedule, 2);
         assert!(!result.exceeds_budget(), "seed {seed}: {result:?}");
--- a/crates/world/tests/fleet.rs
+++ b/crates/world/tests/fleet.rs
@@ -22,7 +22,7 @@
     let detection_times: Vec<(f64, f64)> = (0..9)
         .map(|seed| {
             let history = run(30, 20.0, seed, r#"{"at":10,"fault":"kill","nodes":{"only":[7]}}"#);
-            let (by_one, by_all) = history.end_seen(7, 10.0);
+            let (by_one, by_all) = history.end_detection_delays(7, 10.0);
             (by_one.unwrap(), by_all.unwrap())
         })
         .collect();
@@ -36,7 +36,7 @@
 #[test]
 fn thirty_nodes_that_join_at_once_see_each_other() {
     let history = run(30, 15.0, 3, "");
-    assert!(history.settled(0.0).unwrap() < 8.0);
+    assert!(history.convergence_time(0.0).unwrap() < 8.0);
     assert_eq!(history.false_deaths(0.0), []);
 }
 
@@ -50,8 +50,8 @@
     };
     for (seed, side) in [(1, "[0,1,2,3,4]"), (2, "[0,1,2,3,4,5,6,7,8,9,10,11,12,13,14]"), (3, "[29]")] {
         let history = run(30, 60.0, seed, &partition(side));
-        let settled = history.settled(40.0);
-        assert!(settled.is_some_and(|after| after < 8.0), "{side}: {settled:?}");
+        let convergence_time = history.convergence_time(40.0);
+        assert!(convergence_time.is_some_and(|after| after < 8.0), "{side}: {convergence_time:?}");
         // No node was held dead by its own side, not even while the two sides merged.
         assert_eq!(history.false_deaths(10.0), []);
     }
@@ -67,14 +67,18 @@
     }
     let history = run(30, 80.0, 5, &steps.join(","));
     assert_eq!(history.false_deaths(0.0), []);
-    assert_eq!(history.needless_returns(0.0), []);
+    assert_eq!(history.needless_rejoins(0.0), []);
 }
 
 #[test]
 fn a_node_stopped_for_long_rejoins_and_holds_no_node_dead() {
     let history = run(10, 60.0, 2, r#"{"at":10,"fault":"stop","nodes":{"only":[4]},"seconds":30}"#);
-    assert!(history.settled(40.0).is_some_and(|after| after < 5.0), "{:?}", history.settled(40.0));
-    let holds_a_node_dead = |seen: &&hopmoor_standin::history::Seen| {
+    assert!(
+        history.convergence_time(40.0).is_some_and(|after| after < 5.0),
+        "{:?}",
+        history.convergence_time(40.0)
+    );
+    let holds_a_node_dead = |seen: &&hopmoor_standin::history::Observation| {
         seen.node == 4 && seen.at > 40.0 && seen.states.iter().any(|(_, state)| state == "dead")
     };
     assert_eq!(history.seen.iter().find(holds_a_node_dead), None);
@@ -88,10 +92,10 @@
         1,
         r#"{"at":10,"fault":"term","nodes":{"only":[3]}},{"at":20,"fault":"move","node":5}"#,
     );
-    let (_, by_all) = history.end_seen(3, 10.0);
+    let (_, by_all) = history.end_detection_delays(3, 10.0);
     assert!(by_all.unwrap() < 1.5, "{by_all:?}");
     assert!(history.seen.iter().all(|seen| seen.states.get(&3).is_none_or(|state| state != "dead")));
-    assert!(history.settled(20.0).is_some_and(|after| after < 6.0));
+    assert!(history.convergence_time(20.0).is_some_and(|after| after < 6.0));
 }
 
 #[test]
@@ -114,7 +118,7 @@
            {"at":12,"fault":"rotate","pause":6}"#,
     );
     assert_eq!(history.false_deaths(0.0), []);
-    assert!(history.settled(50.0).is_some());
+    assert!(history.convergence_time(50.0).is_some());
 }
 
 #[test]
--- a/crates/world/tests/script.rs
+++ b/crates/world/tests/script.rs
@@ -3,9 +3,9 @@
 
 use hopmoor_incident::{Findings, IncidentKind, MemberState, RunEnd, analyse};
 use hopmoor_record::{Folder, Merged};
-use hopmoor_standin::plan::{Plan, What};
-use hopmoor_standin::truth::{Kind, Truth};
-use hopmoor_world::{BEGAN, play};
+use hopmoor_standin::plan::{Plan, ScriptAction};
+use hopmoor_standin::truth::{Condition, GroundTruth};
+use hopmoor_world::{RUN_START_UNIX_MS, simulate};
 use std::path::Path;
 
 fn analyse_records(folder: &Path, plan: &Plan) -> Findings {
@@ -14,16 +14,16 @@
 }
 
 /// Runs a plan and analyses its records.
-fn run(plan: &Plan) -> (Truth, Findings) {
+fn run(plan: &Plan) -> (GroundTruth, Findings) {
     let folder = tempfile::tempdir().unwrap();
-    let truth = play(plan, Some(folder.path())).unwrap();
+    let truth = simulate(plan, Some(folder.path())).unwrap();
     (truth, analyse_records(folder.path(), plan))
 }
 
 /// The spans that were found at members in one of `states`: their starts in seconds from the start of the
 /// run, the members and the states.
 fn span_starts(findings: &Findings, states: &[MemberState]) -> Vec<(f64, String, MemberState)> {
-    let seconds = |ms: f64| (ms - BEGAN) / 1_000.0;
+    let seconds = |ms: f64| (ms - RUN_START_UNIX_MS) / 1_000.0;
     let spans =
         findings.members.iter().flat_map(|member| member.spans.iter().map(move |span| (member, span)));
     let matching = spans.filter(|(_, span)| states.contains(&span.state));
@@ -46,28 +46,29 @@
     for change in &truth.changes {
         let at = change.at_ms / 1_000.0;
         let state = match change.what {
-            Kind::Silent => MemberState::Silent,
-            Kind::Slow => MemberState::Slow,
-            Kind::Refusing => MemberState::Refusing,
-            Kind::Draining => MemberState::Draining,
-            Kind::Cold => MemberState::Cold,
-            Kind::Gone | Kind::Running | Kind::Deaf => continue,
+            Condition::Silent => MemberState::Silent,
+            Condition::Slow => MemberState::Slow,
+            Condition::Refusing => MemberState::Refusing,
+            Condition::Draining => MemberState::Draining,
+            Condition::Cold => MemberState::Cold,
+            Condition::Gone | Condition::Running | Condition::Deaf => continue,
         };
         let member = findings.members.iter().find(|member| member.name == change.subject).unwrap();
         let matches = |span: &&hopmoor_incident::Span| {
             let edge = if change.begins { Some(span.from) } else { span.until };
-            span.state == state && edge.is_some_and(|edge| ((edge - BEGAN) / 1_000.0 - at).abs() <= 1.0)
+            span.state == state
+                && edge.is_some_and(|edge| ((edge - RUN_START_UNIX_MS) / 1_000.0 - at).abs() <= 1.0)
         };
         assert!(member.spans.iter().any(|span| matches(&span)), "{change:?} not found: {:?}", member.spans);
     }
     // Each fault of the script is found exactly once, and nothing else is.
     for act in &plan.script {
         let (name, state) = match &act.what {
-            What::Silent { member, .. } => (member, MemberState::Silent),
-            What::Slow { member, .. } => (member, MemberState::Slow),
-            What::Refusing { member, .. } => (member, MemberState::Refusing),
-            What::Drain { member, .. } => (member, MemberState::Draining),
-            What::Kill { member } => (member, MemberState::Dead),
+            ScriptAction::Silent { member, .. } => (member, MemberState::Silent),
+            ScriptAction::Slow { member, .. } => (member, MemberState::Slow),
+            ScriptAction::Refusing { member, .. } => (member, MemberState::Refusing),
+            ScriptAction::Drain { member, .. } => (member, MemberState::Draining),
+            ScriptAction::Kill { member } => (member, MemberState::Dead),
             _ => continue,
         };
         let at = act.at_ms / 1_000.0;
@@ -79,19 +80,19 @@
     // One node was killed and started again; the other lost records and was later shut down.
     let runs = &findings.nodes[0].runs;
     assert_eq!(runs.iter().map(|run| run.end).collect::<Vec<_>>(), [RunEnd::Cut, RunEnd::Stopped]);
-    assert!((runs[0].until - BEGAN - 470_000.0).abs() < 1_000.0, "{runs:?}");
+    assert!((runs[0].until - RUN_START_UNIX_MS - 470_000.0).abs() < 1_000.0, "{runs:?}");
     let cost =
         findings.incidents.iter().find(|incident| incident.kind == IncidentKind::NodeCut).unwrap().share;
     assert!(
         cost > 0.000_2,
         "its clients lost about a second each until they reconnected elsewhere, but the share is {cost}"
     );
-    assert!((runs[1].from - BEGAN - 500_000.0).abs() < 1_000.0, "{runs:?}");
+    assert!((runs[1].from - RUN_START_UNIX_MS - 500_000.0).abs() < 1_000.0, "{runs:?}");
     let gaps = &findings.nodes[1].gaps;
-    assert!(gaps.len() == 1 && (gaps[0].from - BEGAN - 420_000.0).abs() < 1_000.0, "{gaps:?}");
-    assert!((gaps[0].until - BEGAN - 426_000.0).abs() < 1_000.0, "{gaps:?}");
+    assert!(gaps.len() == 1 && (gaps[0].from - RUN_START_UNIX_MS - 420_000.0).abs() < 1_000.0, "{gaps:?}");
+    assert!((gaps[0].until - RUN_START_UNIX_MS - 426_000.0).abs() < 1_000.0, "{gaps:?}");
     let left = findings.incidents.iter().find(|incident| incident.kind == IncidentKind::NodeLeft).unwrap();
-    assert!((left.from - BEGAN - 560_000.0).abs() < 1_000.0);
+    assert!((left.from - RUN_START_UNIX_MS - 560_000.0).abs() < 1_000.0);
     assert_eq!(findings.nodes[1].runs[0].end, RunEnd::Stopped);
     // The share of wanted service that was lost.
     let (actual, reported) = (truth.share_lost(), findings.service.share_lost);
@@ -149,10 +150,12 @@
 fn records_that_end_mid_incident_show_no_recovery() {
     let mut plan = Plan { nodes: vec!["n-1".into()], until_ms: 90_000.0, ..Plan::ten_minutes() };
     plan.script.truncate(1);
-    plan.script
-        .push(hopmoor_standin::plan::Act { at_ms: 70_000.0, what: What::KillNode { node: "n-1".into() } });
+    plan.script.push(hopmoor_standin::plan::ScriptEntry {
+        at_ms: 70_000.0,
+        what: ScriptAction::KillNode { node: "n-1".into() },
+    });
     let (_, findings) = run(&plan);
-    assert!((findings.until - BEGAN - 70_000.0).abs() < 1_000.0);
+    assert!((findings.until - RUN_START_UNIX_MS - 70_000.0).abs() < 1_000.0);
     let silent = findings.members.iter().find(|member| member.name == "s-3").unwrap();
     let span = silent.spans.iter().find(|span| span.state == MemberState::Silent).unwrap();
     assert_eq!(span.until, None);
--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -2,7 +2,7 @@
 //! each, whatever else it does as it starts, and whenever the list comes.
 #[path = "common/node.rs"]
 mod node;
-use hopmoor_standin::sockets::{Delivery, Discovery, Listed, Member, Stage};
+use hopmoor_standin::sockets::{Discovery, DiscoveryEntry, Member, ResponseBehavior, StandInRuntime};
 use node::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -15,35 +15,35 @@
 
 /// A long list: host `h-N` listens where member `N % LISTENING` does, whose receipt is that plus 1.
 struct LongList {
-    stage: Stage,
+    runtime: StandInRuntime,
     members: Vec<Member>,
     hosts: usize,
 }
 
 impl LongList {
     fn new(hosts: usize) -> LongList {
-        let stage = Stage::new().unwrap();
-        let members = (0..LISTENING).map(|at| Member::start(&stage, at as u32 + 1).unwrap()).collect();
-        LongList { stage, members, hosts }
+        let runtime = StandInRuntime::new().unwrap();
+        let members = (0..LISTENING).map(|at| Member::start(&runtime, at as u32 + 1).unwrap()).collect();
+        LongList { runtime, members, hosts }
     }
 
-    fn entries(&self) -> Vec<(String, Listed)> {
+    fn entries(&self) -> Vec<(String, DiscoveryEntry)> {
         let entry = |at: usize| {
             let dial = self.members[at % LISTENING].address();
-            (format!("h-{at}"), Listed { dial, health: "Ready", born_ms: 0.0 })
+            (format!("h-{at}"), DiscoveryEntry { dial, health: "Ready", born_ms: 0.0 })
         };
         (0..self.hosts).map(entry).collect()
     }
 
     fn discovery(&self) -> Discovery {
-        let discovery = Discovery::start(&self.stage).unwrap();
+        let discovery = Discovery::start(&self.runtime).unwrap();
         discovery.set_all(&self.entries());
         discovery
     }
 
     /// What a node is started with: those of the hosts that `named` picks.
     fn known(&self, named: impl Fn(usize) -> bool) -> String {
-        let host = |(at, (name, listed)): (usize, (String, Listed))| {
+        let host = |(at, (name, listed)): (usize, (String, DiscoveryEntry))| {
             named(at).then(|| {
                 format!(
                     r#"{{"host":"{name}","dial":"{}","site":"a","block":0,"health":"Ready","share":1.0,"born_ms":0}}"#,
@@ -119,7 +119,10 @@
 fn connections_from_before_wait_for_the_list_that_names_their_host() {
     let list = LongList::new(200);
     let discovery = list.discovery();
-    discovery.deliver(Delivery { begins_after: Duration::from_millis(1_500), ..Delivery::default() });
+    discovery.set_response_behavior(ResponseBehavior {
+        start_delay: Duration::from_millis(1_500),
+        ..ResponseBehavior::default()
+    });
     let node = launch(&fleet_config(&discovery.address(), &list.known(|at| at % 2 == 0)), |_| ());
     let mut standing = come_back(&node, 0..CLIENTS);
     all_up(&mut standing, Duration::from_secs(15));
@@ -130,7 +133,10 @@
 fn a_long_list_that_comes_steadily_is_taken() {
     let list = LongList::new(3_200);
     let discovery = list.discovery();
-    discovery.deliver(Delivery { over: Duration::from_secs(4), ..Delivery::default() });
+    discovery.set_response_behavior(ResponseBehavior {
+        over: Duration::from_secs(4),
+        ..ResponseBehavior::default()
+    });
     let node = launch(&fleet_config(&discovery.address(), &list.known(|_| false)), |_| ());
     let mut standing = come_back(&node, (0..CLIENTS).map(|at| at * 79));
     all_up(&mut standing, Duration::from_secs(20));
--- a/tests/agree.rs
+++ b/tests/agree.rs
@@ -36,7 +36,7 @@
            {"at":9,"fault":"drain","nodes":{"only":[1]},"on":false},
            {"at":12,"fault":"drain","nodes":{"only":[2]},"on":false}"#,
     );
-    assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
+    assert_eq!(history.max_concurrent_drains().0, 1, "{:?}", history.drained());
     assert_eq!(drained(&history, 6.0, 9.0), [1], "{:?}", history.drained());
     assert_eq!(drained(&history, 9.5, 12.0), [2], "{:?}", history.drained());
     assert_eq!(drained(&history, 13.0, 16.0), NO_NODES, "{:?}", history.drained());
@@ -53,7 +53,7 @@
            {"at":12,"fault":"start","nodes":{"only":[0,1]}}"#,
     );
     assert_eq!(drained(&history, 0.0, 12.0), NO_NODES, "{:?}", history.drained());
-    assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
+    assert_eq!(history.max_concurrent_drains().0, 1, "{:?}", history.drained());
     assert_eq!(drained(&history, 20.0, 24.0).len(), 1, "{:?}", history.drained());
 }
 
@@ -88,7 +88,7 @@
            {"at":22.2,"fault":"drain","nodes":{"only":[3,4,5]},"on":true},
            {"at":38,"fault":"drain","nodes":"all","on":false}"#,
     );
-    assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
+    assert_eq!(history.max_concurrent_drains().0, 1, "{:?}", history.drained());
     // On the side without two of the three voters no node drained; after the first cut had healed one did.
     assert!(!drained(&history, 7.0, 14.0).contains(&3), "{:?}", history.drained());
     assert!(!drained(&history, 22.2, 30.0).contains(&4), "{:?}", history.drained());
@@ -110,7 +110,7 @@
         steps += &format!(r#",{{"at":{at},"fault":"back"}}"#);
     }
     let history = run(7, 3, 36.0, &steps);
-    assert_eq!(history.most_drained().0, 1, "{:?}", history.drained());
+    assert_eq!(history.max_concurrent_drains().0, 1, "{:?}", history.drained());
     // The killed nodes 0 and 1 may have lost their turn; the others had theirs. One of the others may have
     // had a turn that no observer saw: it began just before all draining nodes were told to take clients
     // again. That happens to one node, after a killed one is back.
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -93,7 +93,7 @@
         (0..scenario.members).map(entry).collect()
     };
     for node in &mut fleet {
-        node.give(0.0, Event::Backends { scope: ListScope::Whole, entries: backends(None) });
+        node.handle_event(0.0, Event::Backends { scope: ListScope::Whole, entries: backends(None) });
     }
     // Shares of the traffic: some nodes get several times the mean.
     let shares: Vec<f64> =
@@ -126,7 +126,7 @@
                 if scenario.nodes_restarted && scenario.in_first_zone(u64::from(index)) {
                     *node = FastNode::new(settings(index), seed * 20_000 + u64::from(index));
                 }
-                node.give(
+                node.handle_event(
                     start_ms,
                     Event::Backends { scope: ListScope::Whole, entries: backends(Some(start_ms)) },
                 );
@@ -213,7 +213,7 @@
         }
     }
 
-    fn give(&mut self, now: f64, event: Event) {
+    fn handle_event(&mut self, now: f64, event: Event) {
         while let Some(std::cmp::Reverse((at, id))) =
             self.timers.peek().copied().filter(|t| t.0.0 as f64 <= now * 1_000.0)
         {
@@ -224,13 +224,13 @@
     }
 
     fn ask(&mut self, now: f64, request: Request) -> Vec<(RequestId, BackendId, f64)> {
-        self.give(now, Event::Request(request));
+        self.handle_event(now, Event::Request(request));
         std::mem::take(&mut self.sends)
     }
 
     fn end(&mut self, now: f64, id: u64, backend: BackendId) {
         let outcome = Outcome::Ok;
-        self.give(
+        self.handle_event(
             now,
             Event::Ended { id: RequestId(id), attempt: 0, backend, outcome, closed: true, report: None },
         );
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use hopmoor::*;
 use std::collections::BTreeMap;
 
-pub struct Relay {
+pub struct TestNode {
     pub balancer: Balancer,
     pub now: f64,
     pub timers: Vec<(f64, TimerId)>,
@@ -21,9 +21,9 @@
     Request { id: RequestId(id), grace_ms: 2_000.0, ..Request::default() }
 }
 
-impl Relay {
+impl TestNode {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        Relay {
+        TestNode {
             balancer: Balancer::new(settings, seed),
             now: 0.0,
             timers: Vec::new(),
@@ -34,14 +34,14 @@
     }
 
     pub fn with(settings: Settings, backends: impl IntoIterator<Item = BackendInfo>) -> Self {
-        let mut relay = Relay::new(settings, 1);
+        let mut relay = TestNode::new(settings, 1);
         let entries = backends.into_iter().collect();
-        relay.give(Event::Backends { scope: ListScope::Whole, entries });
+        relay.handle_event(Event::Backends { scope: ListScope::Whole, entries });
         relay
     }
 
     /// Gives one event and returns what the balancer wants done, timers apart.
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         let mut seen = Vec::new();
@@ -66,7 +66,7 @@
     }
 
     /// Lets the clock run, firing timers on ticks of 5 ms.
-    pub fn run(&mut self, until: f64) -> Vec<Action> {
+    pub fn run_until(&mut self, until: f64) -> Vec<Action> {
         let mut seen = Vec::new();
         while self.now < until {
             self.now = (self.now + 5.0).min(until);
@@ -74,31 +74,31 @@
             let due: Vec<TimerId> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
             self.timers.retain(|t| t.0 > now);
             for id in due {
-                seen.extend(self.give(Event::Timer(id)));
+                seen.extend(self.handle_event(Event::Timer(id)));
             }
         }
         seen
     }
 
-    pub fn ask(&mut self, request: Request) -> Vec<Action> {
-        self.give(Event::Request(request))
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        self.handle_event(Event::Request(request))
     }
 
     pub fn stand(&mut self, id: u64) {
         self.out.remove(&RequestId(id));
-        self.give(Event::Established { id: RequestId(id), took_ms: 20.0 });
+        self.handle_event(Event::Established { id: RequestId(id), took_ms: 20.0 });
     }
 
     /// Ends what the request has out, or its open connection on `backend`.
     pub fn end(&mut self, id: u64, backend: BackendId, outcome: Outcome, closed: bool) -> Vec<Action> {
         let id = RequestId(id);
         let attempt = self.out.remove(&id).map_or(0, |(_, attempt)| attempt);
-        self.give(Event::Ended { id, attempt, backend, outcome, closed, report: None })
+        self.handle_event(Event::Ended { id, attempt, backend, outcome, closed, report: None })
     }
 
     /// Opens a connection and returns its backend.
     pub fn open(&mut self, request: Request) -> BackendId {
-        let actions = self.ask(request);
+        let actions = self.submit(request);
         let backend = sent_to(&actions).unwrap_or_else(|| panic!("not sent at once: {actions:?}"));
         self.stand(request.id.0);
         backend
--- a/tests/common/node.rs
+++ b/tests/common/node.rs
@@ -1,6 +1,6 @@
 //! The node as a process, between the project's stand-ins, for tests.
 #![allow(dead_code)]
-use hopmoor_standin::sockets::{Discovery, Member, Stage};
+use hopmoor_standin::sockets::{Discovery, Member, StandInRuntime};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::path::PathBuf;
@@ -19,22 +19,22 @@
 }
 
 /// Discovery with these members, each serving with its receipt.
-pub struct Site {
+pub struct TestPool {
     pub discovery: Discovery,
     pub members: Vec<Member>,
-    pub stage: Stage,
+    pub runtime: StandInRuntime,
 }
 
-pub fn site(receipts: &[u32]) -> Site {
-    let stage = Stage::new().unwrap();
-    let discovery = Discovery::start(&stage).unwrap();
+pub fn pool(receipts: &[u32]) -> TestPool {
+    let runtime = StandInRuntime::new().unwrap();
+    let discovery = Discovery::start(&runtime).unwrap();
     let member = |(at, receipt): (usize, &u32)| {
-        let member = Member::start(&stage, *receipt).unwrap();
+        let member = Member::start(&runtime, *receipt).unwrap();
         discovery.set(&format!("s-{}", at + 1), &member.address(), "Ready");
         member
     };
     let members = receipts.iter().enumerate().map(member).collect();
-    Site { discovery, members, stage }
+    TestPool { discovery, members, runtime }
 }
 
 pub struct Node {
@@ -50,7 +50,7 @@
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    pub fn logs(&self, wanted: &str) -> String {
+    pub fn wait_for_log(&self, wanted: &str) -> String {
         let mut lines = self.log.iter();
         lines.find(|line| line.contains(wanted)).unwrap_or_else(|| panic!("no line with {wanted}"))
     }
@@ -79,9 +79,9 @@
     )
 }
 
-pub fn start() -> (Node, Site) {
-    let site = site(&[77]);
-    (start_with(&site.discovery.address()), site)
+pub fn start() -> (Node, TestPool) {
+    let pool = pool(&[77]);
+    (start_with(&pool.discovery.address()), pool)
 }
 
 pub fn start_with(discovery: &str) -> Node {
@@ -89,11 +89,11 @@
 }
 
 /// A node with an operators' listener, and where that is.
-pub fn start_called(discovery: &str) -> (Node, String) {
+pub fn start_with_admin(discovery: &str) -> (Node, String) {
     let node = launch(&config(discovery), |command| {
         command.env("NODE_ADMIN", "127.0.0.1:0");
     });
-    let line = node.logs("operators may call");
+    let line = node.wait_for_log("operators may call");
     (node, format!("127.0.0.1:{}", port(&line)))
 }
 
@@ -137,7 +137,7 @@
 }
 
 /// Waits until it holds, for so many seconds at most.
-pub fn within(seconds: f64, mut holds: impl FnMut() -> bool) -> bool {
+pub fn wait_until(seconds: f64, mut holds: impl FnMut() -> bool) -> bool {
     let began = Instant::now();
     while !holds() {
         if began.elapsed().as_secs_f64() > seconds {
@@ -148,7 +148,7 @@
     true
 }
 
-pub fn talk(stream: &mut BufReader<TcpStream>, line: &str) -> String {
+pub fn exchange_line(stream: &mut BufReader<TcpStream>, line: &str) -> String {
     stream.get_mut().write_all(line.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_line(&mut answer).unwrap();
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -10,7 +10,7 @@
 
 fn open(node: &Node, id: u32) -> BufReader<TcpStream> {
     let mut client = node.connect();
-    assert_eq!(talk(&mut client, &format!("OPEN {id} 2 c=chat,t=acme,d=5000\r\n")), "UP 77\r\n");
+    assert_eq!(exchange_line(&mut client, &format!("OPEN {id} 2 c=chat,t=acme,d=5000\r\n")), "UP 77\r\n");
     client
 }
 
@@ -25,9 +25,9 @@
 /// still has its answer within a second (`call` asserts it), and the node stays within its descriptors.
 #[test]
 fn calls_are_answered_in_time_beside_a_crowd() {
-    let site = site(&[77]);
-    let (node, admin) = start_called(&site.discovery.address());
-    assert!(within(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
+    let pool = pool(&[77]);
+    let (node, admin) = start_with_admin(&pool.discovery.address());
+    assert!(wait_until(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
     let silent: Vec<_> = (0..300).map(|_| node.connect()).collect();
     let mut idle = Vec::new();
     for at in 0..500 {
@@ -54,59 +54,59 @@
 
 #[test]
 fn figures_are_what_clients_and_members_saw() {
-    let site = site(&[77]);
-    let (node, admin) = start_called(&site.discovery.address());
-    assert!(within(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
+    let pool = pool(&[77]);
+    let (node, admin) = start_with_admin(&pool.discovery.address());
+    assert!(wait_until(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
     for what in ["served", "refused", "failed", "attempts"] {
         assert_eq!(figure(&admin, &format!("requests.chat.{what}")), 0, "there from the start");
     }
     let mut standing: Vec<_> = (0..20).map(|id| open(&node, id)).collect();
     standing.truncate(15);
-    site.members[0].refusing(true);
+    pool.members[0].refusing(true);
     let (mut refused, mut failed) = (0, 0);
     for id in 100..106 {
-        let answer = talk(&mut node.connect(), &format!("OPEN {id} 2 c=chat,t=acme,d=700\r\n"));
+        let answer = exchange_line(&mut node.connect(), &format!("OPEN {id} 2 c=chat,t=acme,d=700\r\n"));
         refused += u64::from(answer.starts_with("BUSY"));
         failed += u64::from(answer.starts_with("ERR"));
     }
-    site.members[0].refusing(false);
+    pool.members[0].refusing(false);
     // One that leaves before its answer.
-    site.members[0].silent(true);
-    let (before, _) = site.members[0].attempts();
+    pool.members[0].silent(true);
+    let (before, _) = pool.members[0].attempts();
     let mut gone = node.connect();
     gone.get_mut().write_all(b"OPEN 200 2 c=chat,t=acme,d=5000\r\n").unwrap();
-    assert!(within(2.0, || site.members[0].attempts().0 > before));
+    assert!(wait_until(2.0, || pool.members[0].attempts().0 > before));
     assert_eq!(figure(&admin, "in_flight"), 16);
     drop(gone);
-    assert!(within(2.0, || figure(&admin, "in_flight") == 15));
+    assert!(wait_until(2.0, || figure(&admin, "in_flight") == 15));
     assert_eq!(refused + failed, 6);
-    let (asked, _) = site.members[0].attempts();
+    let (asked, _) = pool.members[0].attempts();
     for (name, truth) in [("served", 20), ("refused", refused), ("failed", failed), ("attempts", asked)] {
         assert_eq!(figure(&admin, &format!("requests.chat.{name}")), truth, "{name}");
     }
     node.signal("-USR1");
-    let counters = node.logs("counters");
+    let counters = node.wait_for_log("counters");
     for (name, truth) in [("served", 20), ("rejected", refused), ("failed", failed), ("attempts", asked)] {
         assert!(counters.contains(&format!(" {name}={truth} ")), "{name} {truth}: {counters}");
     }
-    site.discovery.set("s-1", &site.members[0].address(), "Terminating");
-    assert!(within(2.0, || figure(&admin, "hosts_excluded") == 1 && figure(&admin, "hosts_known") == 1));
+    pool.discovery.set("s-1", &pool.members[0].address(), "Terminating");
+    assert!(wait_until(2.0, || figure(&admin, "hosts_excluded") == 1 && figure(&admin, "hosts_known") == 1));
 }
 
 /// Drained under load: no yes, every standing client told to move, none cut or left within 4 s; the node stays, and
 /// resumed it says yes, serves, and moves nobody.
 #[test]
 fn a_drained_node_moves_its_clients_stays_and_serves_again() {
-    let site = site(&[77]);
-    let (mut node, admin) = start_called(&site.discovery.address());
-    assert!(within(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
+    let pool = pool(&[77]);
+    let (mut node, admin) = start_with_admin(&pool.discovery.address());
+    assert!(wait_until(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
     assert_eq!(call(&admin, "PUT", "/-/resume").0, 200, "without a drain nothing changes");
     let clients: Vec<_> = (0..40).map(|id| open(&node, id)).collect();
     let told = Instant::now();
     for _ in 0..2 {
         assert_eq!(call(&admin, "PUT", "/-/drain").0, 200);
     }
-    assert_ne!(talk(&mut node.connect(), "PING\r\n"), "PONG\r\n");
+    assert_ne!(exchange_line(&mut node.connect(), "PING\r\n"), "PONG\r\n");
     assert_eq!(call(&admin, "GET", "/-/ready").0, 503);
     // The front still sends one.
     let late = open(&node, 100);
@@ -127,7 +127,7 @@
     assert_eq!(figure(&admin, "in_flight"), 0);
     assert!(node.child.try_wait().unwrap().is_none(), "it stays");
     assert_eq!(call(&admin, "PUT", "/-/resume").0, 200);
-    assert_eq!(talk(&mut node.connect(), "PING\r\n"), "PONG\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), "PING\r\n"), "PONG\r\n");
     let mut after = open(&node, 101);
     after.get_mut().set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     assert!(after.read_line(&mut String::new()).is_err(), "nobody moves after a resume");
@@ -135,9 +135,9 @@
     assert_eq!(call(&admin, "PUT", "/-/drain").0, 200);
     assert_eq!(call(&admin, "PUT", "/-/resume").0, 200);
     thread::sleep(Duration::from_millis(3_200));
-    assert_eq!(talk(&mut after, "tick\r\n"), "tick\r\n");
+    assert_eq!(exchange_line(&mut after, "tick\r\n"), "tick\r\n");
     node.signal("-TERM");
-    assert!(within(1.0, || call(&admin, "GET", "/-/ready").0 == 503));
+    assert!(wait_until(1.0, || call(&admin, "GET", "/-/ready").0 == 503));
     assert_eq!(call(&admin, "PUT", "/-/resume").0, 409, "an end can't be taken back");
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -21,16 +21,19 @@
 
 /// A hundred nodes that hold one connection each, on nine members, when all learn at once that a tenth member
 /// has started.
-fn fleet_with_new_member(seed: u64) -> Vec<Relay> {
+fn fleet_with_new_member(seed: u64) -> Vec<TestNode> {
     let start_ms = 20_000.0;
     let warm_node = |index: u32| {
-        let mut node = Relay::new(settings(), seed * 1_000 + u64::from(index));
-        node.give(Event::Backends { scope: ListScope::Whole, entries: (0..9).map(backend).collect() });
-        node.run(f64::from(index) * start_ms / f64::from(NODES));
+        let mut node = TestNode::new(settings(), seed * 1_000 + u64::from(index));
+        node.handle_event(Event::Backends {
+            scope: ListScope::Whole,
+            entries: (0..9).map(backend).collect(),
+        });
+        node.run_until(f64::from(index) * start_ms / f64::from(NODES));
         node.open(request(0));
-        node.run(start_ms);
+        node.run_until(start_ms);
         let new_member = BackendInfo { started_at: Some(start_ms), ..backend(100) };
-        node.give(Event::Backends { scope: ListScope::Patch, entries: vec![new_member] });
+        node.handle_event(Event::Backends { scope: ListScope::Patch, entries: vec![new_member] });
         node
     };
     (0..NODES).map(warm_node).collect()
@@ -47,7 +50,7 @@
         // half.
         for step in 0..48_u32 {
             let node = &mut fleet[(step * 37 % NODES) as usize];
-            node.run(20_000.0 + f64::from(step) * 250.0);
+            node.run_until(20_000.0 + f64::from(step) * 250.0);
             sends += u32::from(node.open(request(1)) == BackendId(100));
         }
     }
@@ -61,7 +64,7 @@
 fn a_surge_at_a_hundred_nodes_does_not_overload_a_new_member() {
     let most_sent = (0..20).map(|seed| {
         let mut fleet = fleet_with_new_member(seed);
-        let sent = |node: &mut Relay| u32::from(node.open(request(1)) == BackendId(100));
+        let sent = |node: &mut TestNode| u32::from(node.open(request(1)) == BackendId(100));
         fleet.iter_mut().map(sent).sum::<u32>()
     });
     // Warm members take 100 connections in 20 s over nine, a third of their capacity: 3 x 0.12 x 5 in 3 s.
@@ -78,15 +81,15 @@
     const WARM_MEMBERS: u64 = 40;
     let tenants = vec![Tenant { quota_connections: 3_200.0, quota_rate: 80.0, ..Tenant::default() }];
     let settings = Settings { balancers: 300, tenants, ..settings() };
-    let mut fleet: Vec<Relay> = (0..300)
+    let mut fleet: Vec<TestNode> = (0..300)
         .map(|seed| {
             let zone = ZoneId(seed as u32 % 5);
-            let mut node = Relay::new(Settings { zone, ..settings.clone() }, seed);
+            let mut node = TestNode::new(Settings { zone, ..settings.clone() }, seed);
             node.now = 20_000.0;
             let zoned = |id| BackendInfo { zone: ZoneId(id as u32 % 5), ..backend(id) };
             let fresh = |id| BackendInfo { started_at: Some(20_000.0), ..zoned(id) };
             let all = (0..WARM_MEMBERS).map(zoned).chain((WARM_MEMBERS..2 * WARM_MEMBERS).map(fresh));
-            node.give(Event::Backends { scope: ListScope::Whole, entries: all.collect() });
+            node.handle_event(Event::Backends { scope: ListScope::Whole, entries: all.collect() });
             node
         })
         .collect();
@@ -100,7 +103,7 @@
     for step in 0..4_200_u32 {
         let group = (56.0 * random().powi(2)) as u64;
         let node = &mut fleet[(random() * 300.0) as usize];
-        node.run(20_000.0 + f64::from(step) / 0.35);
+        node.run_until(20_000.0 + f64::from(step) / 0.35);
         let key = AffinityKey(group.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let BackendId(to) = node.open(Request { group: Some(key), ..request(u64::from(step)) });
         sent_by_span[(step / 1_050) as usize][to as usize] += 1;
@@ -128,21 +131,21 @@
 #[test]
 fn a_large_group_is_admitted_by_a_pool_whose_members_all_restarted() {
     let tenants = vec![Tenant { quota_connections: 300.0, quota_rate: 10.0, ..Tenant::default() }];
-    let mut node = Relay::new(Settings { balancers: 1, tenants, ..settings() }, 3);
+    let mut node = TestNode::new(Settings { balancers: 1, tenants, ..settings() }, 3);
     node.now = 100_000.0;
-    node.give(Event::Backends { scope: ListScope::Whole, entries: (0..4).map(backend).collect() });
+    node.handle_event(Event::Backends { scope: ListScope::Whole, entries: (0..4).map(backend).collect() });
     let grouped = |id| Request { group: Some(AffinityKey(5)), ..request(id) };
     for id in 0..100 {
         node.open(grouped(id));
     }
-    node.run(103_000.0);
+    node.run_until(103_000.0);
     let fresh = |id| BackendInfo { started_at: Some(103_000.0), ..backend(id) };
-    node.give(Event::Backends { scope: ListScope::Whole, entries: (0..4).map(fresh).collect() });
+    node.handle_event(Event::Backends { scope: ListScope::Whole, entries: (0..4).map(fresh).collect() });
     // Two a second for 12 s. Of a warm member's 2.5 a second four cold ones take 3 x 0.12 at once, and more
     // each second.
     let sent = (0..24_u32).filter(|step| {
-        node.run(103_000.0 + f64::from(*step) * 500.0);
-        sent_to(&node.ask(grouped(200 + u64::from(*step)))).is_some()
+        node.run_until(103_000.0 + f64::from(*step) * 500.0);
+        sent_to(&node.submit(grouped(200 + u64::from(*step)))).is_some()
     });
     let sent = sent.count();
     assert!(sent >= 12, "{sent} of 24 sent");
--- a/tests/fleet_node.rs
+++ b/tests/fleet_node.rs
@@ -61,7 +61,7 @@
             command.stdin(Stdio::from(socket)).env("NODE_PASSED_SOCKET", "0");
         }
     });
-    let line = node.logs("operators may call");
+    let line = node.wait_for_log("operators may call");
     (node, format!("127.0.0.1:{}", port(&line)))
 }
 
@@ -104,12 +104,12 @@
 /// With `--log-format json` each line is one object with the node, its incarnation and the time.
 #[test]
 fn json_log_lines_carry_node_incarnation_and_time() {
-    let (site, folder) = (site(&[77]), Folder::new());
-    let operator = folder.operator_file("a", &site.discovery.address(), free_port(), &[]);
+    let (pool, folder) = (pool(&[77]), Folder::new());
+    let operator = folder.operator_file("a", &pool.discovery.address(), free_port(), &[]);
     let node = launch("{}", |command| {
         command.args(["--log-format", "json", "--operator"]).arg(&operator);
     });
-    let line: Value = serde_json::from_str(&node.logs("in a fleet")).unwrap();
+    let line: Value = serde_json::from_str(&node.wait_for_log("in a fleet")).unwrap();
     assert_eq!(line["node"], "a");
     assert_eq!(line["incarnation"], line["as"]);
     assert!(line["ts"].as_str().unwrap().ends_with('Z') && line["level"] == "INFO", "{line}");
@@ -117,30 +117,30 @@
 
 #[test]
 fn without_the_fleet_setting_there_is_no_fleet_endpoint() {
-    let site = site(&[77]);
-    let (_node, admin) = start_called(&site.discovery.address());
+    let pool = pool(&[77]);
+    let (_node, admin) = start_with_admin(&pool.discovery.address());
     assert_eq!(call(&admin, "GET", "/-/fleet").0, 404);
     assert!(!call(&admin, "GET", "/-/metrics").1.contains("fleet."));
 }
 
 #[test]
 fn an_upgrade_appears_as_one_node_to_the_others() {
-    let (site, folder) = (site(&[77]), Folder::new());
+    let (pool, folder) = (pool(&[77]), Folder::new());
     let (a, b) = (free_port(), free_port());
-    let discovery = site.discovery.address();
+    let discovery = pool.discovery.address();
     let (_other, observer) = start_with(&folder.operator_file("b", &discovery, b, &[a]), None);
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let operator = folder.operator_file("a", &discovery, a, &[b]);
     let (old, _) = start_with(&operator, Some(&socket));
-    assert!(within(5.0, || has_state(&observer, "a", "alive")));
+    assert!(wait_until(5.0, || has_state(&observer, "a", "alive")));
     let first = member(&observer, "a").unwrap()["incarnation"].as_u64().unwrap();
     let (new, admin) = start_with(&operator, Some(&socket));
-    assert!(within(5.0, || call(&admin, "GET", "/-/ready").0 == 200));
+    assert!(wait_until(5.0, || call(&admin, "GET", "/-/ready").0 == 200));
     assert_eq!(call(&admin, "GET", "/-/fleet").0, 503, "the old process still holds the port");
     old.signal("-TERM");
     let started = Instant::now();
     let mut states = Vec::new();
-    let replaced = within(8.0, || {
+    let replaced = wait_until(8.0, || {
         let member = member(&observer, "a").unwrap();
         states.push(member["state"].as_str().unwrap().to_owned());
         member["incarnation"].as_u64().unwrap() > first
@@ -171,14 +171,14 @@
 /// must not grow, and one line is logged.
 #[test]
 fn a_flood_of_forged_datagrams_disturbs_neither_clients_nor_the_view() {
-    let (site, folder) = (site(&[77]), Folder::new());
+    let (pool, folder) = (pool(&[77]), Folder::new());
     let (a, b) = (free_port(), free_port());
-    let discovery = site.discovery.address();
+    let discovery = pool.discovery.address();
     let (node, admin) = start_with(&folder.operator_file("a", &discovery, a, &[b]), None);
     let (_other, other) = start_with(&folder.operator_file("b", &discovery, b, &[a]), None);
-    assert!(within(5.0, || has_state(&admin, "b", "alive") && has_state(&other, "a", "alive")));
+    assert!(wait_until(5.0, || has_state(&admin, "b", "alive") && has_state(&other, "a", "alive")));
     let mut client = node.connect();
-    assert_eq!(talk(&mut client, "OPEN 1 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
+    assert_eq!(exchange_line(&mut client, "OPEN 1 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
     let (ticks, kilobytes) = (cpu_ticks(&node), resident_kb(&node));
     let started = Instant::now();
     let flood = thread::spawn(move || {
@@ -199,7 +199,7 @@
     let mut slowest = Duration::ZERO;
     while !flood.is_finished() {
         let sent_at = Instant::now();
-        assert_eq!(talk(&mut client, "tick\r\n"), "tick\r\n");
+        assert_eq!(exchange_line(&mut client, "tick\r\n"), "tick\r\n");
         slowest = slowest.max(sent_at.elapsed());
         assert!(has_state(&admin, "b", "alive") || has_state(&admin, "b", "suspect"));
         assert!(has_state(&other, "a", "alive") || has_state(&other, "a", "suspect"));
@@ -217,15 +217,15 @@
     assert!(refused.parse::<u64>().unwrap() > 1_000, "{figures}");
     let lines = node.log.try_iter().filter(|line| line.contains("fleet refused")).count();
     assert_eq!(lines, 1);
-    assert!(within(5.0, || has_state(&admin, "b", "alive") && has_state(&other, "a", "alive")));
+    assert!(wait_until(5.0, || has_state(&admin, "b", "alive") && has_state(&other, "a", "alive")));
 }
 
 /// With a single voter: budgets and permits as operators use them, and agreed state survives a killed
 /// process.
 #[test]
 fn a_drain_waits_for_its_budget_and_agreed_state_survives_a_kill() {
-    let (site, folder) = (site(&[77]), Folder::new());
-    let operator = folder.operator_file("a", &site.discovery.address(), free_port(), &[]);
+    let (pool, folder) = (pool(&[77]), Folder::new());
+    let operator = folder.operator_file("a", &pool.discovery.address(), free_port(), &[]);
     let mut file: Value = serde_json::from_slice(&std::fs::read(&operator).unwrap()).unwrap();
     file["fleet"]["agree"] = json!({"voters": ["a"], "folder": "votes"});
     std::fs::write(&operator, file.to_string()).unwrap();
@@ -233,14 +233,14 @@
     let permits =
         |admin: &str| -> Value { serde_json::from_str(&call(admin, "GET", "/-/permits").1).unwrap() };
     let (node, admin) = start_with(&operator, None);
-    assert!(within(10.0, || permits(&admin)["leader"] == "a"), "{}", permits(&admin));
+    assert!(wait_until(10.0, || permits(&admin)["leader"] == "a"), "{}", permits(&admin));
     assert_eq!(put(&admin, "/-/budget?most=0").0, 202);
     assert_eq!(put(&admin, "/-/budget?most=many").0, 400);
-    assert!(within(5.0, || permits(&admin)["budgets"][0]["most"] == "0"), "{}", permits(&admin));
+    assert!(wait_until(5.0, || permits(&admin)["budgets"][0]["most"] == "0"), "{}", permits(&admin));
     assert_eq!(put(&admin, "/-/drain").0, 202);
     let waiting = "waiting: fleet: 0 of 0 out\n";
     assert!(
-        within(5.0, || put(&admin, "/-/drain") == (202, waiting.to_owned())),
+        wait_until(5.0, || put(&admin, "/-/drain") == (202, waiting.to_owned())),
         "{:?}",
         put(&admin, "/-/drain")
     );
@@ -248,16 +248,16 @@
     node.signal("-KILL");
     drop(node);
     let (_node, admin) = start_with(&operator, None);
-    assert!(within(10.0, || permits(&admin)["leader"] == "a"), "{}", permits(&admin));
+    assert!(wait_until(10.0, || permits(&admin)["leader"] == "a"), "{}", permits(&admin));
     // The budget is still there. The request of the killed process is dropped once the new one is seen
     // serving.
     assert_eq!(permits(&admin)["budgets"][0]["most"], "0");
-    assert!(within(5.0, || permits(&admin)["permits"] == json!([])), "{}", permits(&admin));
+    assert!(wait_until(5.0, || permits(&admin)["permits"] == json!([])), "{}", permits(&admin));
     put(&admin, "/-/budget?most=100%25");
-    assert!(within(5.0, || put(&admin, "/-/drain").0 == 200), "{:?}", put(&admin, "/-/drain"));
+    assert!(wait_until(5.0, || put(&admin, "/-/drain").0 == 200), "{:?}", put(&admin, "/-/drain"));
     assert_eq!(call(&admin, "GET", "/-/ready").1.trim_end(), "not ready: draining");
     assert!(permits(&admin)["permits"][0]["permit"].as_u64().is_some());
     assert_eq!(put(&admin, "/-/resume").0, 200);
-    assert!(within(5.0, || permits(&admin)["permits"] == json!([])), "{}", permits(&admin));
+    assert!(wait_until(5.0, || permits(&admin)["permits"] == json!([])), "{}", permits(&admin));
     assert_eq!(call(&admin, "GET", "/-/ready").0, 200);
 }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -2,7 +2,7 @@
 
 use hopmoor_rig::{Options, play};
 use hopmoor_standin::faults::Schedule;
-use hopmoor_standin::history::{History, Seen};
+use hopmoor_standin::history::{History, Observation};
 use std::path::PathBuf;
 use std::sync::{Condvar, Mutex, PoisonError};
 
@@ -44,15 +44,15 @@
 }
 
 fn assert_settled(history: &History, since: f64, within: f64) {
-    let after = history.settled(since);
+    let after = history.convergence_time(since);
     assert!(
         after.is_some_and(|after| after <= within),
         "views settled after {after:?} s, allowed are {within} s\n{}",
-        history.told()
+        history.summary()
     );
 }
 
-fn states(history: &History, of: usize, at: f64) -> impl Iterator<Item = (&Seen, &str)> {
+fn states(history: &History, of: usize, at: f64) -> impl Iterator<Item = (&Observation, &str)> {
     let seen = history.seen.iter().filter(move |seen| seen.at > at && seen.node != of);
     seen.filter_map(move |seen| Some((seen, seen.states.get(&of)?.as_str())))
 }
@@ -61,7 +61,7 @@
 fn two_nodes_see_each_other_and_the_death_of_one() {
     let history = run(2, 12.0, r#"{"at":4,"fault":"kill","nodes":{"only":[1]}}"#);
     assert!(history.seen.iter().any(|seen| seen.at < 4.0 && seen.states.len() == 2));
-    let (first, _) = history.end_seen(1, 4.0);
+    let (first, _) = history.end_detection_delays(1, 4.0);
     assert!(first.is_some_and(|after| after < 4.0), "{first:?}");
     assert_eq!(history.false_deaths(GRACE_SECONDS), []);
 }
@@ -79,7 +79,7 @@
     assert_settled(&history, 28.0, 12.0);
     assert_eq!(history.false_deaths(GRACE_SECONDS), []);
     for node in [0, 12, 28] {
-        let (first, last) = history.end_seen(node, 12.0);
+        let (first, last) = history.end_detection_delays(node, 12.0);
         assert!(
             first.is_some_and(|after| after < 5.0) && last.is_some_and(|after| after < 14.0),
             "{first:?} {last:?}"
@@ -102,10 +102,10 @@
         let counts: std::collections::BTreeSet<u32> = seen.filter_map(|seen| seen.sharing).collect();
         counts
     };
-    assert_eq!(sharing_counts(8.0, 33.0), [10].into(), "{}", history.told());
-    assert_eq!(sharing_counts(41.0, 45.0), [9].into(), "{}", history.told());
+    assert_eq!(sharing_counts(8.0, 33.0), [10].into(), "{}", history.summary());
+    assert_eq!(sharing_counts(41.0, 45.0), [9].into(), "{}", history.summary());
     let survivor =
-        |seen: &&Seen| seen.node == 1 && seen.at > 17.0 && seen.at < 22.0 && seen.sharing == Some(10);
+        |seen: &&Observation| seen.node == 1 && seen.at > 17.0 && seen.at < 22.0 && seen.sharing == Some(10);
     assert!(history.seen.iter().any(|seen| survivor(&seen)), "the number is reported while the six are down");
 }
 
@@ -142,10 +142,11 @@
            {"at":30,"fault":"stop","nodes":{"only":[5]},"seconds":15}"#,
     );
     assert_eq!(history.false_deaths(GRACE_SECONDS), []);
-    assert_eq!(history.needless_returns(GRACE_SECONDS), []);
+    assert_eq!(history.needless_rejoins(GRACE_SECONDS), []);
     // The stopped node goes on with the view that it had.
-    let reports_dead =
-        |seen: &&Seen| seen.node == 5 && seen.at > 45.0 && seen.states.values().any(|state| state == "dead");
+    let reports_dead = |seen: &&Observation| {
+        seen.node == 5 && seen.at > 45.0 && seen.states.values().any(|state| state == "dead")
+    };
     assert_eq!(history.seen.iter().find(reports_dead), None);
     assert_settled(&history, 45.0, 8.0);
 }
@@ -178,7 +179,8 @@
     assert!(states(&history, 4, 10.0).all(|(_, state)| state == "left"));
     assert!(states(&history, 3, 18.0).all(|(_, state)| state == "alive"));
     // The first of the two processes yields the name and is not ready; the name stays up without a gap.
-    let first: Vec<&Seen> = history.seen.iter().filter(|seen| seen.node == 2 && seen.at > 28.0).collect();
+    let first: Vec<&Observation> =
+        history.seen.iter().filter(|seen| seen.node == 2 && seen.at > 28.0).collect();
     assert!(first.len() > 10 && first.iter().all(|seen| seen.itself_ready == Some(false)));
     assert!(states(&history, 2, 28.0).all(|(_, state)| state == "alive"));
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -16,9 +16,9 @@
 /// go at once, the eleventh waits and leaves as soon as one ends.
 #[test]
 fn limit_is_budget_over_minimum_rate_and_the_rest_queues() {
-    let mut relay = Relay::with(quota(&[5.0]), [backend(1), backend(2)]);
+    let mut relay = TestNode::with(quota(&[5.0]), [backend(1), backend(2)]);
     let places: Vec<BackendId> = (0..10).map(|id| relay.open(request(id))).collect();
-    assert!(relay.ask(request(10)).is_empty());
+    assert!(relay.submit(request(10)).is_empty());
     let released = relay.end(0, places[0], Outcome::Ok, true);
     assert!(matches!(released[..], [Action::Attempt { id: RequestId(10), .. }]));
 }
@@ -28,22 +28,22 @@
 #[test]
 fn hints_count_against_the_usual_one_whatever_their_unit() {
     for unit in [0.001, 1.0, 2.0, 40_000.0] {
-        let mut relay = Relay::with(quota(&[5.0]), [backend(1)]);
+        let mut relay = TestNode::with(quota(&[5.0]), [backend(1)]);
         for id in 0..10 {
             relay.open(Request { load_hint: Some(unit), ..request(id) });
         }
-        assert!(relay.ask(Request { load_hint: Some(unit), ..request(10) }).is_empty(), "{unit}");
+        assert!(relay.submit(Request { load_hint: Some(unit), ..request(10) }).is_empty(), "{unit}");
     }
 }
 
 /// With load hints the limit counts connections of the smallest hint seen: usual ones of 4 and one of 1 leave room in number.
 #[test]
 fn limit_follows_the_smallest_hint() {
-    let mut relay = Relay::with(quota(&[5.0]), [backend(1)]);
+    let mut relay = TestNode::with(quota(&[5.0]), [backend(1)]);
     let hints = [4.0, 4.0, 4.0, 1.0];
     let open = (0..40).filter(|id| {
         let load_hint = Some(hints[*id as usize % 4]);
-        sent_to(&relay.ask(Request { load_hint, ..request(*id) })).is_some()
+        sent_to(&relay.submit(Request { load_hint, ..request(*id) })).is_some()
     });
     // Each counts by the mean of those until then; the last goes while the load is not yet over the budget of 10.
     let (mut sum, mut load, mut under) = (0.0, 0.0, 0);
@@ -54,7 +54,7 @@
         load += hint / (sum / under as f64);
     }
     assert_eq!(open.count(), under);
-    relay.run(450.0);
+    relay.run_until(450.0);
     // They are over the budget by less than one load and under the limit in number: the next are paced, not held for good.
     assert!(relay.out.len() > under, "{}", relay.out.len());
 }
@@ -64,14 +64,14 @@
 #[test]
 fn queued_connections_wait_in_proportion_to_their_hint() {
     let wait = |hint: f64| {
-        let mut relay = Relay::with(quota(&[1.0]), [backend(1)]);
+        let mut relay = TestNode::with(quota(&[1.0]), [backend(1)]);
         for (id, hint) in [12.0, 1.0, 12.0].into_iter().enumerate() {
             relay.open(Request { load_hint: Some(hint), ..request(id as u64) });
         }
         let start = relay.now;
-        assert!(relay.ask(Request { load_hint: Some(hint), ..request(3) }).is_empty());
+        assert!(relay.submit(Request { load_hint: Some(hint), ..request(3) }).is_empty());
         while !relay.out.contains_key(&RequestId(3)) && relay.now < start + 450.0 {
-            relay.run(relay.now + 5.0);
+            relay.run_until(relay.now + 5.0);
         }
         relay.now - start
     };
@@ -84,20 +84,20 @@
 /// Guarantees first: a greedy tenant leaves another its equal part of the capacity.
 #[test]
 fn a_greedy_tenant_leaves_others_their_guarantee() {
-    let mut relay = Relay::with(quota(&[5.0, 5.0]), [backend(1)]); // capacity 20
+    let mut relay = TestNode::with(quota(&[5.0, 5.0]), [backend(1)]); // capacity 20
     for id in 0..12 {
-        if sent_to(&relay.ask(of_tenant(id, 0))).is_some() {
+        if sent_to(&relay.submit(of_tenant(id, 0))).is_some() {
             relay.stand(id);
         }
-        if sent_to(&relay.ask(of_tenant(100 + id, 1))).is_some() {
+        if sent_to(&relay.submit(of_tenant(100 + id, 1))).is_some() {
             relay.stand(100 + id);
         }
     }
     // Two more intervals of pressure from tenant 0 only; tenant 1 wants half of the capacity.
     for step in 0..4u64 {
-        relay.run(600.0 + 500.0 * step as f64);
+        relay.run_until(600.0 + 500.0 * step as f64);
         for id in 0..10 {
-            relay.ask(of_tenant(1_000 + 100 * step + id, 0));
+            relay.submit(of_tenant(1_000 + 100 * step + id, 0));
         }
     }
     let sends = |tenant: u64| relay.tries.keys().filter(|id| (id.0 / 100 % 10 == 1) == (tenant == 1)).count();
@@ -110,18 +110,18 @@
 fn spare_capacity_goes_by_priority() {
     let worth = |worth| Class { worth, aim_ms: 400.0, ..Class::default() };
     let settings = Settings { classes: vec![worth(1.0), worth(5.0)], ..quota(&[4.0, 4.0, 4.0]) };
-    let mut relay = Relay::with(settings, [backend(1)]); // capacity 24, guarantees of 8
+    let mut relay = TestNode::with(settings, [backend(1)]); // capacity 24, guarantees of 8
     relay.open(of_tenant(2_000, 2));
     for round in 0..12u64 {
         for id in 3 * round..3 * round + 3 {
             for tenant in [0u64, 1] {
                 let (id, class) = (1_000 * tenant + id, ClassId(tenant as u32));
-                if sent_to(&relay.ask(Request { class, ..of_tenant(id, tenant as u32) })).is_some() {
+                if sent_to(&relay.submit(Request { class, ..of_tenant(id, tenant as u32) })).is_some() {
                     relay.stand(id);
                 }
             }
         }
-        relay.run(500.0 * (round + 1) as f64);
+        relay.run_until(500.0 * (round + 1) as f64);
         for id in relay.out.keys().copied().collect::<Vec<_>>() {
             relay.stand(id.0);
         }
@@ -134,7 +134,7 @@
 #[test]
 fn turns_follow_listed_weights() {
     let heavy = BackendInfo { weight: 3.0, ..backend(2) };
-    let mut relay = Relay::with(Settings::default(), [backend(1), heavy]);
+    let mut relay = TestNode::with(Settings::default(), [backend(1), heavy]);
     let mut count = [0u32; 3];
     for id in 0..400 {
         count[relay.open(request(id)).0 as usize] += 1;
@@ -146,9 +146,9 @@
 #[test]
 fn a_group_meets_on_one_backend_at_every_gateway() {
     let place = |seed| {
-        let mut relay = Relay::new(Settings::default(), seed);
+        let mut relay = TestNode::new(Settings::default(), seed);
         let entries = (0..8).map(backend).collect();
-        relay.give(Event::Backends { scope: ListScope::Whole, entries });
+        relay.handle_event(Event::Backends { scope: ListScope::Whole, entries });
         relay.open(Request { group: Some(AffinityKey(77)), ..request(1) })
     };
     assert_eq!(place(1), place(2));
@@ -158,7 +158,7 @@
 /// No group may crowd one backend: the preference ends when the backend is eight turns ahead.
 #[test]
 fn a_hot_group_is_spread() {
-    let mut relay = Relay::with(Settings::default(), (0..8).map(backend));
+    let mut relay = TestNode::with(Settings::default(), (0..8).map(backend));
     let mut count = [0u32; 8];
     for id in 0..80 {
         count[relay.open(Request { group: Some(AffinityKey(5)), ..request(id) }).0 as usize] += 1;
@@ -170,21 +170,21 @@
 /// Connections that are open already skip limit and wait.
 #[test]
 fn mid_flow_skips_the_limit() {
-    let mut relay = Relay::with(quota(&[1.0]), [backend(1)]);
+    let mut relay = TestNode::with(quota(&[1.0]), [backend(1)]);
     for id in 0..20 {
-        assert!(sent_to(&relay.ask(Request { mid_flow: true, ..request(id) })).is_some());
+        assert!(sent_to(&relay.submit(Request { mid_flow: true, ..request(id) })).is_some());
     }
 }
 
 /// Capacity follows the listed weight at once: with twice the backends twice the connections fit.
 #[test]
 fn growth_rescales_capacity_at_once() {
-    let mut relay = Relay::with(quota(&[5.0]), [backend(1)]);
+    let mut relay = TestNode::with(quota(&[5.0]), [backend(1)]);
     for id in 0..10 {
         relay.open(request(id));
     }
-    assert!(relay.ask(request(10)).is_empty());
-    relay.give(Event::Backends { scope: ListScope::Patch, entries: vec![backend(2)] });
+    assert!(relay.submit(request(10)).is_empty());
+    relay.handle_event(Event::Backends { scope: ListScope::Patch, entries: vec![backend(2)] });
     assert!(relay.out.contains_key(&RequestId(10)));
 }
 
@@ -196,16 +196,16 @@
     let mut settings = quota(&[10.0, 10.0]); // capacity 40
     settings.tenants[0].contract = contract(4.0, 6.0, 1.0);
     settings.tenants[1].contract = contract(8.0, f64::INFINITY, 2.0);
-    let mut relay = Relay::with(settings, [backend(1)]);
+    let mut relay = TestNode::with(settings, [backend(1)]);
     for id in 0..60 {
         for tenant in [0u64, 1] {
             let id = 1_000 * tenant + id;
-            if sent_to(&relay.ask(of_tenant(id, tenant as u32))).is_some() {
+            if sent_to(&relay.submit(of_tenant(id, tenant as u32))).is_some() {
                 relay.stand(id);
             }
         }
     }
-    relay.run(600.0);
+    relay.run_until(600.0);
     let sent = |tenant: u64| relay.tries.keys().filter(|id| id.0 / 1_000 == tenant).count();
     assert_eq!(sent(0), 6, "its maximum");
     // Capacity has crept up a little by the second interval.
@@ -217,18 +217,18 @@
 #[test]
 fn a_newcomer_claims_its_equal_part_until_its_clients_have_come() {
     let sent = |took_over: bool, load: f64, wait_ms: f64| {
-        let mut relay = Relay::with(quota(&[8.0]), [backend(1), backend(2)]);
+        let mut relay = TestNode::with(quota(&[8.0]), [backend(1), backend(2)]);
         if took_over {
-            relay.give(Event::Adopted { request: request(1_000), backend: BackendId(1) });
+            relay.handle_event(Event::Adopted { request: request(1_000), backend: BackendId(1) });
         }
         while relay.now < wait_ms {
             for backend in [BackendId(1), BackendId(2)] {
                 let report = Some(Report { load_over_capacity: Some(load) });
-                relay.give(Event::ProbeEnded { backend, outcome: Outcome::Ok, report });
+                relay.handle_event(Event::ProbeEnded { backend, outcome: Outcome::Ok, report });
             }
-            relay.run(relay.now + 500.0);
+            relay.run_until(relay.now + 500.0);
         }
-        (0..8).filter(|id| sent_to(&relay.ask(request(*id))).is_some()).count()
+        (0..8).filter(|id| sent_to(&relay.submit(request(*id))).is_some()).count()
     };
     // Busy, and so busy that all of them count as in trouble.
     for load in [0.8, 0.9] {
@@ -242,11 +242,11 @@
 /// times its part once the others were listed.
 #[test]
 fn the_first_list_of_discovery_settles_capacity_whatever_was_known() {
-    let mut relay = Relay::new(quota(&[5.0]), 1);
-    relay.give(Event::Backends { scope: ListScope::Stale, entries: vec![backend(1)] });
-    relay.run(600.0);
+    let mut relay = TestNode::new(quota(&[5.0]), 1);
+    relay.handle_event(Event::Backends { scope: ListScope::Stale, entries: vec![backend(1)] });
+    relay.run_until(600.0);
     let entries = (1..=100).map(backend).collect();
-    relay.give(Event::Backends { scope: ListScope::Whole, entries });
-    let sent = (0..200).filter(|id| sent_to(&relay.ask(request(*id))).is_some()).count();
+    relay.handle_event(Event::Backends { scope: ListScope::Whole, entries });
+    let sent = (0..200).filter(|id| sent_to(&relay.submit(request(*id))).is_some()).count();
     assert!((8..=14).contains(&sent), "{sent} let in at once, 10 are twice its part");
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -12,17 +12,17 @@
 fn a_node_is_ready_serves_relays_moves_and_ends_well() {
     let (mut node, _site) = start();
     let connect = || node.connect();
-    assert_eq!(talk(&mut connect(), "PING\r\n"), "PONG\r\n");
+    assert_eq!(exchange_line(&mut connect(), "PING\r\n"), "PONG\r\n");
     let mut client = connect();
-    assert_eq!(talk(&mut client, "OPEN 1 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
-    assert_eq!(talk(&mut client, "tick\r\n"), "tick\r\n");
+    assert_eq!(exchange_line(&mut client, "OPEN 1 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
+    assert_eq!(exchange_line(&mut client, "tick\r\n"), "tick\r\n");
     let mut bad = connect();
-    assert!(talk(&mut bad, "OPEN 1 2 c=none,t=acme,d=5000\r\n").starts_with("ERR "));
+    assert!(exchange_line(&mut bad, "OPEN 1 2 c=none,t=acme,d=5000\r\n").starts_with("ERR "));
     assert_eq!(bad.read(&mut [0; 9]).unwrap(), 0, "closed after its answer");
     let told = Instant::now();
     node.signal("-TERM");
     let mut late = connect();
-    assert_eq!(talk(&mut late, "OPEN 3 4 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n", "still serving");
+    assert_eq!(exchange_line(&mut late, "OPEN 3 4 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n", "still serving");
     for client in [&mut client, &mut late] {
         let mut rest = String::new();
         client.read_to_string(&mut rest).unwrap();
@@ -39,7 +39,7 @@
 fn bad_clients_are_turned_away_in_time_and_real_ones_served() {
     let (node, _site) = start();
     let connect = || node.connect().into_inner();
-    assert_eq!(talk(&mut BufReader::new(connect()), "PING\r\n"), "PONG\r\n");
+    assert_eq!(exchange_line(&mut BufReader::new(connect()), "PING\r\n"), "PONG\r\n");
     let began = Instant::now();
     let silent: Vec<_> = (0..300).map(|_| connect()).collect();
     let mut flood = connect();
@@ -59,11 +59,11 @@
         })
         .collect();
     for client in &mut real {
-        assert_eq!(talk(client, ""), "UP 77\r\n");
+        assert_eq!(exchange_line(client, ""), "UP 77\r\n");
     }
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
     let mut twice = BufReader::new(connect());
-    assert_eq!(talk(&mut twice, "OPEN 7 2 c=chat,t=acme,d=5000\r\n"), "ERR Duplicate\r\n");
+    assert_eq!(exchange_line(&mut twice, "OPEN 7 2 c=chat,t=acme,d=5000\r\n"), "ERR Duplicate\r\n");
     let mut answer = [0; 4];
     flood.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"ERR ");
@@ -75,7 +75,7 @@
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
     let _ = flooding.join();
     for client in &mut real {
-        assert_eq!(talk(client, "tick\r\n"), "tick\r\n");
+        assert_eq!(exchange_line(client, "tick\r\n"), "tick\r\n");
     }
 }
 
@@ -83,12 +83,12 @@
 /// file changes nothing; connections are kept.
 #[test]
 fn a_new_configuration_is_taken_while_the_node_serves() {
-    let (old_site, new_site) = (site(&[77]), site(&[77, 88]));
+    let (old_site, new_site) = (pool(&[77]), pool(&[77, 88]));
     new_site.discovery.set("s-1", &old_site.members[0].address(), "Ready");
     let (old, new) = (old_site.discovery.address(), new_site.discovery.address());
     let node = start_with(&old);
     let mut kept = node.connect();
-    assert_eq!(talk(&mut kept, "OPEN 0 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
+    assert_eq!(exchange_line(&mut kept, "OPEN 0 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
     let replace = |text: &str| {
         let whole = node.file.with_extension("new");
         std::fs::write(&whole, text).unwrap();
@@ -96,27 +96,27 @@
         node.signal("-HUP");
     };
     replace(&config(&new).replace("sockets\":256", "sockets\":-1"));
-    assert!(node.logs("configuration not taken").contains("limits.sockets"));
+    assert!(node.wait_for_log("configuration not taken").contains("limits.sockets"));
     replace(&config("nowhere"));
-    assert!(node.logs("configuration not taken").contains("discovery"));
+    assert!(node.wait_for_log("configuration not taken").contains("discovery"));
     replace(&config(&new).replace("\"n\"", "\"m\""));
     replace(&config(&new));
-    let line = node.logs("configuration taken");
+    let line = node.wait_for_log("configuration taken");
     assert!(line.contains(&new), "{line}");
     let told = Instant::now();
-    node.logs("member: s-2");
+    node.wait_for_log("member: s-2");
     assert!(told.elapsed() < Duration::from_secs(1), "{:?}", told.elapsed());
     let mut clients = Vec::new();
     let receipts: Vec<_> = (1..20)
         .map(|id| {
             clients.push(node.connect());
-            talk(clients.last_mut().unwrap(), &format!("OPEN {id} 2 c=chat,t=acme,d=5000\r\n"))
+            exchange_line(clients.last_mut().unwrap(), &format!("OPEN {id} 2 c=chat,t=acme,d=5000\r\n"))
         })
         .collect();
     assert!(receipts.contains(&"UP 88\r\n".to_owned()), "{receipts:?}");
-    assert_eq!(talk(&mut kept, "tick\r\n"), "tick\r\n");
+    assert_eq!(exchange_line(&mut kept, "tick\r\n"), "tick\r\n");
     node.signal("-USR1");
-    let counters = node.logs("counters");
+    let counters = node.wait_for_log("counters");
     assert!(counters.contains("reloads_refused=2") && !counters.contains("reloads=0"), "{counters}");
 }
 
@@ -175,5 +175,5 @@
     let body = r#"{"seq":5,"whole":true,"hosts":[{"host":"s-9","dial":"127.0.0.1:1","site":"a","block":0,"health":"Ready","share":1.0,"born_ms":0}]}"#;
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     call.write_all(answer.as_bytes()).unwrap();
-    assert!(node.logs("pool member").contains("s-9"));
+    assert!(node.wait_for_log("pool member").contains("s-9"));
 }
--- a/tests/crossings.rs
+++ b/tests/race_conditions.rs
@@ -17,7 +17,7 @@
 /// A counter as the node prints it now.
 fn counter(node: &Node, name: &str) -> u64 {
     node.signal("-USR1");
-    let line = node.logs("when: asked");
+    let line = node.wait_for_log("when: asked");
     let value = line.split_whitespace().find_map(|field| field.strip_prefix(&format!("{name}=")));
     value.unwrap_or_else(|| panic!("no {name} in {line}")).parse().unwrap()
 }
@@ -38,10 +38,13 @@
     let mut quiet = node.connect().into_inner();
     quiet.write_all(OPEN.replace("OPEN 1", "OPEN 2").as_bytes()).unwrap();
     drop(quiet);
-    assert!(within(5.0, || counter(&node, "asks") == 2 && counter(&node, "left") == 2), "an end went unseen");
+    assert!(
+        wait_until(5.0, || counter(&node, "asks") == 2 && counter(&node, "left") == 2),
+        "an end went unseen"
+    );
     desk.answer(&list(2, false, &[("s-1", &member.address, "Ready")]));
-    assert_eq!(talk(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 3")), "UP 7\r\n");
-    assert!(within(6.0, || counter(&node, "held") == 0));
+    assert_eq!(exchange_line(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 3")), "UP 7\r\n");
+    assert!(wait_until(6.0, || counter(&node, "held") == 0));
     let sent: Vec<_> = member.seen().into_iter().map(|(id, _)| id).collect();
     assert_eq!(sent, ["3"]);
 }
@@ -60,7 +63,7 @@
             Some(client)
         })
         .collect();
-    assert!(within(10.0, || counter(&node, "held") == 300));
+    assert!(wait_until(10.0, || counter(&node, "held") == 300));
     let mut gone = vec![None; 300];
     let mut drawn = 7u64;
     for turn in 0..20 {
@@ -82,7 +85,7 @@
         counter(&node, "held");
     }
     let stay = clients.iter().filter(|client| client.is_some()).count();
-    assert!(within(10.0, || counter(&node, "served") >= stay as u64));
+    assert!(wait_until(10.0, || counter(&node, "served") >= stay as u64));
     let late = member.seen().into_iter().filter_map(|(id, at)| {
         let gone = gone[id.parse::<usize>().unwrap()]?;
         at.checked_duration_since(gone)
@@ -117,7 +120,7 @@
     let mut client = node.connect();
     client.get_mut().write_all(OPEN.replace("d=5000", "d=2000").as_bytes()).unwrap();
     let mut first = None;
-    assert!(within(5.0, || {
+    assert!(wait_until(5.0, || {
         first = (0..2).find_map(|at| Some((at, members[at].waiting()?)));
         first.is_some()
     }));
@@ -165,7 +168,7 @@
     let took = began.elapsed();
     assert!(target.contains(since), "{target}");
     assert!(counter(node, "discovery_failures") >= least);
-    assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
     took
 }
 
@@ -180,7 +183,7 @@
     let hosts = [("s-1", &*member.address, "Terminating"), ("s-2", &*other.address, "Ready")];
     desk.answer(&list(2, false, &hosts));
     assert!(desk.call().contains("since=2"));
-    assert_eq!(talk(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 2")), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), &OPEN.replace("OPEN 1", "OPEN 2")), "UP 7\r\n");
     assert_eq!(other.seen().len(), 1, "the new list holds");
 }
 
@@ -229,9 +232,9 @@
     desk.answer(&older);
     let target = desk.call();
     assert!(!target.contains("since"), "{target}");
-    assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
     assert_eq!((member.seen().len(), other.seen().len()), (0, 1));
-    assert!(node.logs("version 6 is older than 7").contains("discovery failed"));
+    assert!(node.wait_for_log("version 6 is older than 7").contains("discovery failed"));
     // It says so twice more: discovery counts anew.
     desk.answer(&older);
     desk.call();
@@ -266,7 +269,7 @@
         list(3, true, &[("s-1", &member.address, "Ready")]).replace(',', " ,\r\n\t ").replace('{', "{\n  ");
     desk.answer(&body);
     assert!(desk.call().contains("since=3"));
-    assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
 }
 
 /// After SIGHUP the new address keeps the first call in line for 1.8 s, among those of all other nodes. Guards against a node
@@ -279,8 +282,8 @@
     std::fs::write(&node.file, config(&other.address)).unwrap();
     node.signal("-HUP");
     assert!(!other.call().contains("since"));
-    assert!(!within(1.8, || other.is_called()), "it called once more");
+    assert!(!wait_until(1.8, || other.is_called()), "it called once more");
     other.answer(&list(5, true, &[("s-1", &member.address, "Ready")]));
     assert!(other.call().contains("since=5"));
-    assert_eq!(talk(&mut node.connect(), OPEN), "UP 7\r\n");
+    assert_eq!(exchange_line(&mut node.connect(), OPEN), "UP 7\r\n");
 }
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -2,7 +2,7 @@
 //! folder and invalid settings.
 use hopmoor_incident::{Findings, MemberState, RunEnd, analyse};
 use hopmoor_record::{Event, Folder, Merged};
-use hopmoor_standin::sockets::{Client, Discovery, Member, Stage};
+use hopmoor_standin::sockets::{Client, Discovery, Member, StandInRuntime};
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
@@ -149,9 +149,9 @@
 #[test]
 fn records_of_a_killed_node_show_a_short_incident() {
     let folder = tempfile::tempdir().unwrap();
-    let stage = Stage::new().unwrap();
-    let discovery = Discovery::start(&stage).unwrap();
-    let members: Vec<Member> = (1..=4).map(|receipt| Member::start(&stage, receipt).unwrap()).collect();
+    let runtime = StandInRuntime::new().unwrap();
+    let discovery = Discovery::start(&runtime).unwrap();
+    let members: Vec<Member> = (1..=4).map(|receipt| Member::start(&runtime, receipt).unwrap()).collect();
     let set = |at: usize, health| discovery.set(&format!("s-{}", at + 1), &members[at].address(), health);
     (0..4).for_each(|at| set(at, "Ready"));
     let (operator, records) = set_up(folder.path(), &discovery);
@@ -160,7 +160,7 @@
     let began = Instant::now();
     let end = began + Duration::from_millis(7_000);
     let (address, clients) = (node.address.clone(), (totals.clone(), silent_member.clone()));
-    stage.handle().spawn(async move {
+    runtime.handle().spawn(async move {
         let mut number = 0;
         while Instant::now() < end {
             number += 1;
@@ -237,16 +237,16 @@
 #[test]
 fn a_removed_folder_loses_records_and_nothing_else() {
     let folder = tempfile::tempdir().unwrap();
-    let stage = Stage::new().unwrap();
-    let discovery = Discovery::start(&stage).unwrap();
-    let member = Member::start(&stage, 5).unwrap();
+    let runtime = StandInRuntime::new().unwrap();
+    let discovery = Discovery::start(&runtime).unwrap();
+    let member = Member::start(&runtime, 5).unwrap();
     discovery.set("s-1", &member.address(), "Ready");
     let (operator, records) = set_up(folder.path(), &discovery);
     let node = Node::start(&operator);
     let answer_to = |number: u32| {
         let address = node.address.clone();
         let (send, answer) = std::sync::mpsc::channel();
-        stage.handle().spawn(async move {
+        runtime.handle().spawn(async move {
             let mut client = Client::connect(&address).await?;
             let _ = send.send(client.ask(&format!("OPEN {number} k c=chat,t=acme,d=3000")).await?);
             std::io::Result::Ok(())
@@ -280,8 +280,8 @@
 #[test]
 fn invalid_settings_are_rejected_by_field() {
     let folder = tempfile::tempdir().unwrap();
-    let stage = Stage::new().unwrap();
-    let (operator, records) = set_up(folder.path(), &Discovery::start(&stage).unwrap());
+    let runtime = StandInRuntime::new().unwrap();
+    let (operator, records) = set_up(folder.path(), &Discovery::start(&runtime).unwrap());
     assert!(check(&operator).status.success());
     assert_eq!(std::fs::read_dir(&records).unwrap().count(), 0, "a check leaves nothing behind");
     for (bad, field) in [
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,7 +1,7 @@
 //! A process that starts while discovery is slow, and what it may do by the list that it was started with.
 #[path = "common/node.rs"]
 mod node;
-use hopmoor_standin::sockets::{Member, Stage};
+use hopmoor_standin::sockets::{Member, StandInRuntime};
 use node::*;
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -34,14 +34,14 @@
 /// be of any age, and a change counts as told 6 s after discovery had it, also for a process that has just started.
 #[test]
 fn nothing_is_sent_by_the_known_list_while_discovery_keeps_the_first_call_in_line() {
-    let stage = Stage::new().unwrap();
-    let gone = Member::start(&stage, 1).unwrap();
-    let serves = Member::start(&stage, 2).unwrap();
+    let runtime = StandInRuntime::new().unwrap();
+    let gone = Member::start(&runtime, 1).unwrap();
+    let serves = Member::start(&runtime, 2).unwrap();
     let discovery = slow_discovery(Duration::from_millis(2_400), list(7, "s-serves", &serves.address()));
     let known = list(1, "s-gone", &gone.address());
     let config = config(&discovery).replace(r#"{"seq":0,"whole":true,"hosts":[]}"#, &known);
     let node = launch(&config, |_| ());
-    let answer = talk(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=6000\r\n");
+    let answer = exchange_line(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=6000\r\n");
     assert_eq!(gone.attempts().0, 0, "sent to one that is gone");
     assert_eq!(answer, "UP 2\r\n");
 }
@@ -50,8 +50,8 @@
 /// counts as told.
 #[test]
 fn nothing_is_sent_to_one_that_an_answer_cut_on_its_way_told_gone() {
-    let stage = Stage::new().unwrap();
-    let gone = Member::start(&stage, 1).unwrap();
+    let runtime = StandInRuntime::new().unwrap();
+    let gone = Member::start(&runtime, 1).unwrap();
     let whole = list(7, "s-gone", &gone.address());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -71,9 +71,9 @@
     });
     let node = launch(&config(&address), |_| ());
     let until = is_told.recv_timeout(Duration::from_secs(10)).unwrap() + Duration::from_millis(800);
-    assert!(within(2.0, || std::time::Instant::now() > until));
+    assert!(wait_until(2.0, || std::time::Instant::now() > until));
     let before = gone.attempts().0;
-    let answer = talk(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
+    let answer = exchange_line(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
     assert_eq!((gone.attempts().0 - before, answer.starts_with("BUSY")), (0, true), "{answer}");
 }
 
@@ -81,8 +81,8 @@
 /// told 6 s after, so that nothing may be sent from 6.75 s on, whatever else fails then.
 #[test]
 fn an_answer_that_was_long_on_its_way_is_as_old_as_its_call() {
-    let stage = Stage::new().unwrap();
-    let gone = Member::start(&stage, 1).unwrap();
+    let runtime = StandInRuntime::new().unwrap();
+    let gone = Member::start(&runtime, 1).unwrap();
     let whole = list(7, "s-gone", &gone.address());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -102,8 +102,8 @@
     });
     let node = launch(&config(&address), |_| ());
     let until = is_called.recv_timeout(Duration::from_secs(10)).unwrap() + Duration::from_millis(6_850);
-    assert!(within(10.0, || std::time::Instant::now() > until));
+    assert!(wait_until(10.0, || std::time::Instant::now() > until));
     let before = gone.attempts().0;
-    let answer = talk(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
+    let answer = exchange_line(&mut node.connect(), "OPEN 1 f c=chat,t=acme,d=1500\r\n");
     assert_eq!((gone.attempts().0 - before, answer.starts_with("BUSY")), (0, true), "{answer}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,7 +11,7 @@
     Settings { classes: vec![Class { effect, aim_ms: 400.0, ..Class::default() }], ..settings() }
 }
 
-fn answers(relay: &Relay, id: u64) -> Vec<f64> {
+fn answers(relay: &TestNode, id: u64) -> Vec<f64> {
     let mine = |action: &Action| match action {
         Action::Refuse { id: answered, .. } | Action::Fail { id: answered } => *answered == RequestId(id),
         _ => false,
@@ -23,9 +23,9 @@
 
 #[test]
 fn a_held_request_is_refused_once_and_in_time() {
-    let mut relay = Relay::with(settings(), []);
-    relay.ask(Request { grace_ms: 300.0, ..request(1) });
-    relay.run(2_000.0);
+    let mut relay = TestNode::with(settings(), []);
+    relay.submit(Request { grace_ms: 300.0, ..request(1) });
+    relay.run_until(2_000.0);
     let at = answers(&relay, 1);
     assert!(at.len() == 1 && at[0] < 300.0, "{at:?}");
 }
@@ -33,9 +33,9 @@
 #[test]
 fn a_deadline_at_the_tick_edge_is_kept() {
     for grace_ms in [0.0, 1.0, 5.0, 9.9, 10.0, 12.0, 20.0, 21.0] {
-        let mut relay = Relay::with(settings(), []);
-        relay.ask(Request { grace_ms, ..request(1) });
-        relay.run(500.0);
+        let mut relay = TestNode::with(settings(), []);
+        relay.submit(Request { grace_ms, ..request(1) });
+        relay.run_until(500.0);
         let at = answers(&relay, 1);
         assert!(at.len() == 1 && at[0] <= grace_ms + 5.0, "{grace_ms}: {at:?}");
     }
@@ -43,19 +43,19 @@
 
 #[test]
 fn a_timeout_at_the_deadline_is_answered_at_once_and_nothing_is_sent_after() {
-    let mut relay = Relay::with(settings(), [backend(1), backend(2)]);
-    let place = sent_to(&relay.ask(request(1))).unwrap();
-    relay.run(1_995.0);
+    let mut relay = TestNode::with(settings(), [backend(1), backend(2)]);
+    let place = sent_to(&relay.submit(request(1))).unwrap();
+    relay.run_until(1_995.0);
     let actions = relay.end(1, place, Outcome::TimedOut, false);
     assert!(refused(&actions) && sent_to(&actions).is_none());
-    relay.run(5_000.0);
+    relay.run_until(5_000.0);
     assert_eq!(relay.tries[&RequestId(1)], 1);
 }
 
 #[test]
 fn tries_are_limited_and_end_in_an_answer() {
-    let mut relay = Relay::with(settings(), (0..9).map(backend));
-    let mut place = sent_to(&relay.ask(request(1)));
+    let mut relay = TestNode::with(settings(), (0..9).map(backend));
+    let mut place = sent_to(&relay.submit(request(1)));
     let mut last = Vec::new();
     while let Some(backend) = place {
         last = relay.end(1, backend, Outcome::Full, false);
@@ -67,12 +67,12 @@
 
 #[test]
 fn a_client_that_left_gets_nothing_more() {
-    let mut relay = Relay::with(settings(), [backend(1)]);
-    let place = sent_to(&relay.ask(request(1))).unwrap();
-    let actions = relay.give(Event::ClientGone { id: RequestId(1) });
+    let mut relay = TestNode::with(settings(), [backend(1)]);
+    let place = sent_to(&relay.submit(request(1))).unwrap();
+    let actions = relay.handle_event(Event::ClientGone { id: RequestId(1) });
     assert!(matches!(actions[..], [Action::CancelAttempt { id: RequestId(1), attempt: 0 }]));
     assert!(relay.end(1, place, Outcome::Cancelled, false).is_empty());
-    relay.run(5_000.0);
+    relay.run_until(5_000.0);
     assert!(answers(&relay, 1).is_empty());
 }
 
@@ -89,8 +89,8 @@
         (Outcome::Reset, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut relay = Relay::with(class(Effect::SingleShot), [backend(1), backend(2)]);
-        let place = sent_to(&relay.ask(request(1))).unwrap();
+        let mut relay = TestNode::with(class(Effect::SingleShot), [backend(1), backend(2)]);
+        let place = sent_to(&relay.submit(request(1))).unwrap();
         let actions = relay.end(1, place, outcome, false);
         assert_eq!(sent_to(&actions).is_some(), again, "{outcome:?}");
         assert_eq!(failed(&actions), !again, "{outcome:?}: may have run, so no refusal");
@@ -103,13 +103,13 @@
     let effect = Effect::Guarded { within: RepeatGroup::Zone, window_ms: 1_000.0 };
     let fleet = [zoned(1, 0), zoned(2, 1), zoned(3, 1)];
     for start in 1..30 {
-        let mut relay = Relay::new(class(effect), start);
-        relay.give(Event::Backends { scope: ListScope::Whole, entries: fleet.to_vec() });
-        let first = sent_to(&relay.ask(request(1))).unwrap();
-        relay.run(50.0);
+        let mut relay = TestNode::new(class(effect), start);
+        relay.handle_event(Event::Backends { scope: ListScope::Whole, entries: fleet.to_vec() });
+        let first = sent_to(&relay.submit(request(1))).unwrap();
+        relay.run_until(50.0);
         let next = sent_to(&relay.end(1, first, Outcome::TimedOut, false)).unwrap();
         assert_eq!(next.0 == 1, first.0 == 1, "from {first:?} to {next:?}");
-        relay.run(1_100.0);
+        relay.run_until(1_100.0);
         let late = relay.end(1, next, Outcome::TimedOut, false);
         assert!(failed(&late) && sent_to(&late).is_none(), "after the window: {late:?}");
     }
@@ -118,9 +118,9 @@
 #[test]
 fn guarded_by_all_may_be_refused_after_the_window() {
     let effect = Effect::Guarded { within: RepeatGroup::All, window_ms: 100.0 };
-    let mut relay = Relay::with(class(effect), [backend(1), backend(2)]);
-    let place = sent_to(&relay.ask(request(1))).unwrap();
-    relay.run(200.0);
+    let mut relay = TestNode::with(class(effect), [backend(1), backend(2)]);
+    let place = sent_to(&relay.submit(request(1))).unwrap();
+    relay.run_until(200.0);
     assert!(refused(&relay.end(1, place, Outcome::TimedOut, false)));
 }
 
@@ -129,16 +129,16 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_backend() {
     let phase = |id, phase| BackendInfo { phase, ..backend(id) };
-    let mut relay = Relay::with(settings(), [backend(1), backend(2), backend(3)]);
+    let mut relay = TestNode::with(settings(), [backend(1), backend(2), backend(3)]);
     let entries = vec![phase(1, Phase::Draining), phase(2, Phase::Gone)];
-    relay.give(Event::Backends { scope: ListScope::Patch, entries });
+    relay.handle_event(Event::Backends { scope: ListScope::Patch, entries });
     for id in 0..30 {
         assert_eq!(relay.open(request(id)), BackendId(3));
     }
     // A whole list without it: gone. Held requests wait and are refused.
-    relay.give(Event::Backends { scope: ListScope::Whole, entries: vec![phase(1, Phase::Draining)] });
-    assert!(sent_to(&relay.ask(request(99))).is_none());
-    let later = relay.run(3_000.0);
+    relay.handle_event(Event::Backends { scope: ListScope::Whole, entries: vec![phase(1, Phase::Draining)] });
+    assert!(sent_to(&relay.submit(request(99))).is_none());
+    let later = relay.run_until(3_000.0);
     assert!(refused(&later) && sent_to(&later).is_none());
 }
 
@@ -150,13 +150,13 @@
         let mut first = Vec::new();
         for seed in 0..30 {
             let settings = Settings { balancers, discovery_on_request: true, ..settings() };
-            let mut relay = Relay::new(settings, seed);
-            relay.give(Event::Backends { scope: ListScope::Whole, entries: vec![backend(1)] });
-            relay.run(10_000.0);
+            let mut relay = TestNode::new(settings, seed);
+            relay.handle_event(Event::Backends { scope: ListScope::Whole, entries: vec![backend(1)] });
+            relay.run_until(10_000.0);
             for failure in 0..12 {
                 let failed = relay.now;
-                relay.give(Event::DiscoveryFailed);
-                relay.run(failed + 3_400.0);
+                relay.handle_event(Event::DiscoveryFailed);
+                relay.run_until(failed + 3_400.0);
                 let asks = |(at, action): &&(f64, Action)| {
                     *at >= failed && matches!(action, Action::Subscribe { on: true })
                 };
@@ -193,20 +193,23 @@
     };
     let mut sends: Vec<f64> = Vec::new();
     for seed in 0..40 {
-        let mut relay = Relay::new(settings.clone(), seed);
-        relay.give(Event::Backends { scope: ListScope::Whole, entries: (0..10).map(backend).collect() });
+        let mut relay = TestNode::new(settings.clone(), seed);
+        relay.handle_event(Event::Backends {
+            scope: ListScope::Whole,
+            entries: (0..10).map(backend).collect(),
+        });
         let mut id = 0;
         // Ten seconds of one request a second: a warm backend takes 4 a second from all 40 together.
         for second in 0..10 {
-            relay.run(1_000.0 * f64::from(second));
+            relay.run_until(1_000.0 * f64::from(second));
             relay.open(request(id));
             id += 1;
         }
         let start = relay.now;
         let cold = BackendInfo { started_at: Some(start), ..backend(100) };
-        relay.give(Event::Backends { scope: ListScope::Patch, entries: vec![cold] });
+        relay.handle_event(Event::Backends { scope: ListScope::Patch, entries: vec![cold] });
         for step in 0..100 {
-            relay.run(start + 10.0 * f64::from(step));
+            relay.run_until(start + 10.0 * f64::from(step));
             if relay.open(request(id)) == BackendId(100) {
                 sends.push(relay.now - start);
             }
@@ -220,28 +223,28 @@
 /// A backend that was away and answers again may be a new process which no list has named yet.
 #[test]
 fn a_backend_back_from_an_absence_is_taken_for_cold() {
-    let mut relay = Relay::with(
+    let mut relay = TestNode::with(
         Settings { warm_up_ms: 20_000.0, start_capacity: 0.1, ..settings() },
         [backend(1), backend(2)],
     );
     for id in 0..20 {
-        relay.run(100.0 * id as f64);
+        relay.run_until(100.0 * id as f64);
         relay.open(request(id));
     }
     for id in 100..160 {
-        relay.run(relay.now + 300.0);
-        if let Some(BackendId(1)) = sent_to(&relay.ask(request(id))) {
+        relay.run_until(relay.now + 300.0);
+        if let Some(BackendId(1)) = sent_to(&relay.submit(request(id))) {
             relay.end(id, BackendId(1), Outcome::Unreachable, false);
         }
         if relay.out.contains_key(&RequestId(id)) {
             relay.stand(id);
         }
     }
-    relay.give(Event::ProbeEnded { backend: BackendId(1), outcome: Outcome::Ok, report: None });
+    relay.handle_event(Event::ProbeEnded { backend: BackendId(1), outcome: Outcome::Ok, report: None });
     let before = relay.now;
     let mut to_first = 0;
     for id in 200..240 {
-        relay.run(before + 25.0 * (id - 200) as f64);
+        relay.run_until(before + 25.0 * (id - 200) as f64);
         to_first += u32::from(relay.open(request(id)) == BackendId(1));
     }
     assert!(to_first <= 10, "{to_first} of 40 in its first second");
@@ -259,22 +262,22 @@
         max_attempts: 0,
         ..settings()
     };
-    let mut relay = Relay::with(
+    let mut relay = TestNode::with(
         odd,
         [BackendInfo { weight: f64::NAN, ..backend(1) }, BackendInfo { weight: 0.0, ..backend(2) }],
     );
-    relay.give(Event::Established { id: RequestId(9), took_ms: 1.0 });
-    relay.give(Event::ClientGone { id: RequestId(9) });
+    relay.handle_event(Event::Established { id: RequestId(9), took_ms: 1.0 });
+    relay.handle_event(Event::ClientGone { id: RequestId(9) });
     relay.end(9, BackendId(7), Outcome::Reset, true);
-    relay.give(Event::Timer(TimerId(u64::MAX)));
-    relay.give(Event::LoadChanged { id: RequestId(1), load: f64::NAN });
-    relay.give(Event::MessageDelay { backend: BackendId(1), took_ms: f64::INFINITY });
+    relay.handle_event(Event::Timer(TimerId(u64::MAX)));
+    relay.handle_event(Event::LoadChanged { id: RequestId(1), load: f64::NAN });
+    relay.handle_event(Event::MessageDelay { backend: BackendId(1), took_ms: f64::INFINITY });
     let report = Some(Report { load_over_capacity: Some(f64::NAN) });
-    relay.give(Event::ProbeEnded { backend: BackendId(1), outcome: Outcome::Ok, report });
+    relay.handle_event(Event::ProbeEnded { backend: BackendId(1), outcome: Outcome::Ok, report });
     for (id, grace_ms) in [(1, f64::NAN), (2, f64::INFINITY), (3, -1.0), (4, 1_000.0)] {
-        relay.ask(Request { grace_ms, load_hint: Some(f64::NAN), ..request(id) });
+        relay.submit(Request { grace_ms, load_hint: Some(f64::NAN), ..request(id) });
     }
-    relay.run(5_000.0);
+    relay.run_until(5_000.0);
     for id in 1..4 {
         assert_eq!(answers(&relay, id).len(), 1, "request {id}");
     }
@@ -298,7 +301,7 @@
         [Effect::Free, Effect::SingleShot, Effect::Guarded { within: RepeatGroup::Cell, window_ms: 500.0 }];
     let classes = effects.map(|effect| Class { effect, ..Class::default() }).to_vec();
     let tenants = vec![Tenant { quota_connections: 10.0, ..Tenant::default() }; 3];
-    let mut relay = Relay::new(
+    let mut relay = TestNode::new(
         Settings { classes, tenants, balancers: 2, probing: true, reports: true, ..settings() },
         seed,
     );
@@ -307,15 +310,15 @@
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) % below
     };
-    relay.give(Event::Backends { scope: ListScope::Stale, entries: (0..6).map(backend).collect() });
+    relay.handle_event(Event::Backends { scope: ListScope::Stale, entries: (0..6).map(backend).collect() });
     let mut due: Vec<(u64, f64)> = Vec::new();
     let mut open: Vec<(u64, BackendId)> = Vec::new();
     let mut over: std::collections::BTreeSet<u64> = Default::default();
     for id in 0..3_000u64 {
-        relay.run(relay.now + 5.0 * random(4) as f64);
+        relay.run_until(relay.now + 5.0 * random(4) as f64);
         let grace_ms = 100.0 + random(900) as f64;
         let class = ClassId(random(3) as u32);
-        relay.ask(Request { grace_ms, class, tenant: TenantId(random(3) as u32), ..request(id) });
+        relay.submit(Request { grace_ms, class, tenant: TenantId(random(3) as u32), ..request(id) });
         due.push((id, relay.now + grace_ms));
         let out: Vec<(u64, BackendId)> = relay.out.iter().map(|(id, (b, _))| (id.0, *b)).collect();
         for (id, backend) in out {
@@ -341,10 +344,10 @@
         let phase = [Phase::Serving, Phase::Draining, Phase::Gone][random(3) as usize];
         if random(20) == 0 {
             let entries = vec![BackendInfo { phase, ..backend(random(6)) }];
-            relay.give(Event::Backends { scope: ListScope::Patch, entries });
+            relay.handle_event(Event::Backends { scope: ListScope::Patch, entries });
         }
         let report = Some(Report { load_over_capacity: Some(random(20) as f64 / 10.0) });
-        relay.give(Event::ProbeEnded { backend: BackendId(random(6)), outcome: Outcome::Ok, report });
+        relay.handle_event(Event::ProbeEnded { backend: BackendId(random(6)), outcome: Outcome::Ok, report });
     }
     for (id, (backend, _)) in relay.out.clone() {
         relay.end(id.0, backend, Outcome::TimedOut, false);
@@ -352,7 +355,7 @@
             relay.end(id.0, backend, Outcome::TimedOut, false);
         }
     }
-    relay.run(relay.now + 3_000.0);
+    relay.run_until(relay.now + 3_000.0);
     for (id, (backend, _)) in relay.out.clone() {
         relay.end(id.0, backend, Outcome::TimedOut, true);
     }
@@ -377,11 +380,14 @@
     let cold = Settings { start_capacity: 0.14, warm_up_ms: 23_000.0, overload_factor: 2.5, ..settings() };
     let mut sends = 0;
     for seed in 0..20 {
-        let mut relay = Relay::new(cold.clone(), seed);
-        relay.give(Event::Backends { scope: ListScope::Whole, entries: (0..10).map(backend).collect() });
+        let mut relay = TestNode::new(cold.clone(), seed);
+        relay.handle_event(Event::Backends {
+            scope: ListScope::Whole,
+            entries: (0..10).map(backend).collect(),
+        });
         for id in 0..600 {
-            relay.run(50.0 * id as f64);
-            let mut place = sent_to(&relay.ask(request(id)));
+            relay.run_until(50.0 * id as f64);
+            let mut place = sent_to(&relay.submit(request(id)));
             if id % 20 == 0 {
                 relay.stand(id);
                 place = None;
@@ -391,11 +397,11 @@
             }
         }
         let start = BackendInfo { started_at: Some(relay.now), ..backend(100) };
-        relay.give(Event::Backends { scope: ListScope::Patch, entries: vec![start] });
+        relay.handle_event(Event::Backends { scope: ListScope::Patch, entries: vec![start] });
         let before = relay.now;
         for id in 1_000..1_100 {
-            relay.run(before + 10.0 * (id - 1_000) as f64);
-            sends += u32::from(sent_to(&relay.ask(request(id))) == Some(BackendId(100)));
+            relay.run_until(before + 10.0 * (id - 1_000) as f64);
+            sends += u32::from(sent_to(&relay.submit(request(id))) == Some(BackendId(100)));
         }
     }
     // A warm one takes a tenth of a connection a second: 2.5 x 0.14 x 0.1 x 20 gateways alone are 0.7.
@@ -416,17 +422,17 @@
         ..settings()
     };
     let sent = |step: f64| {
-        let mut relay = Relay::with(settings.clone(), (0..9).map(backend));
-        relay.run(10_000.0);
+        let mut relay = TestNode::with(settings.clone(), (0..9).map(backend));
+        relay.run_until(10_000.0);
         // What the list says is on discovery's clock; the process's own is off by the step.
         let started_at = Some(relay.now - step);
         let entries = vec![BackendInfo { started_at, ..backend(9) }];
-        relay.give(Event::Backends { scope: ListScope::Patch, entries });
+        relay.handle_event(Event::Backends { scope: ListScope::Patch, entries });
         let mut newcomer = 0;
         for id in 0..200 {
             let from = relay.now;
-            relay.run(from + 12.5);
-            newcomer += u32::from(sent_to(&relay.ask(request(1_000 + id))) == Some(BackendId(9)));
+            relay.run_until(from + 12.5);
+            newcomer += u32::from(sent_to(&relay.submit(request(1_000 + id))) == Some(BackendId(9)));
         }
         newcomer
     };
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -11,7 +11,7 @@
 mod proxy;
 
 use clients::{ARRIVALS_AFTER_SIGTERM, Counts, Process, Slot};
-use hopmoor_standin::sockets::{Delivery, Discovery, Listed, Stage};
+use hopmoor_standin::sockets::{Discovery, DiscoveryEntry, ResponseBehavior, StandInRuntime};
 use member::Member;
 use node::*;
 use proxy::Proxy;
@@ -116,7 +116,7 @@
 
 impl Soak {
     /// Discovery and the members run on separate stages, so that neither delays the other.
-    fn new(seed: u64, member_stage: &Stage, discovery_stage: &Stage) -> Soak {
+    fn new(seed: u64, member_stage: &StandInRuntime, discovery_stage: &StandInRuntime) -> Soak {
         let scenario = Scenario::from_seed(seed);
         let discovery = Discovery::start(discovery_stage).unwrap();
         let members: Vec<_> =
@@ -171,8 +171,8 @@
         if host < FAULTY_HOSTS { host } else { FAULTY_HOSTS + host % FAULTY_HOSTS }
     }
 
-    fn list_entry(&self, host: usize, health: &'static str) -> Listed {
-        Listed { dial: self.members[self.member_index(host)].address.clone(), health, born_ms: 0.0 }
+    fn list_entry(&self, host: usize, health: &'static str) -> DiscoveryEntry {
+        DiscoveryEntry { dial: self.members[self.member_index(host)].address.clone(), health, born_ms: 0.0 }
     }
 
     /// Starts a node process in a slot.
@@ -279,10 +279,15 @@
             // From now on discovery begins its answers late, writes them slowly, or is quick again; it
             // answers with changes only or with whole lists.
             7 => {
-                let begins_after = Duration::from_millis([0, 300, 1_200][self.random.below(3)]);
+                let start_delay = Duration::from_millis([0, 300, 1_200][self.random.below(3)]);
                 let over = Duration::from_millis([0, 800, 3_000][self.random.below(3)]);
-                let changes = self.random.below(4) > 0;
-                self.discovery.deliver(Delivery { begins_after, over, changes, silent: false });
+                let incremental = self.random.below(4) > 0;
+                self.discovery.set_response_behavior(ResponseBehavior {
+                    start_delay,
+                    over,
+                    incremental,
+                    silent: false,
+                });
             }
             // A host that has been gone for more than 11 s comes back.
             _ => {
@@ -348,7 +353,7 @@
 
 /// Starts to measure by how many milliseconds the members' stage wakes up late at worst. That delay comes
 /// from the machine, not from the nodes under test.
-fn measure_lateness(stage: &Stage) -> Arc<AtomicU64> {
+fn measure_lateness(stage: &StandInRuntime) -> Arc<AtomicU64> {
     const INTERVAL: Duration = Duration::from_millis(20);
     let worst = Arc::<AtomicU64>::default();
     let recorded = worst.clone();
@@ -365,7 +370,7 @@
 
 /// Runs one seed for this long; returns the violations.
 fn run_seed(seed: u64, seconds: u64) -> Vec<String> {
-    let (member_stage, discovery_stage) = (Stage::new().unwrap(), Stage::new().unwrap());
+    let (member_stage, discovery_stage) = (StandInRuntime::new().unwrap(), StandInRuntime::new().unwrap());
     let mut soak = Soak::new(seed, &member_stage, &discovery_stage);
     let lateness = measure_lateness(&member_stage);
     let mut clients = Vec::new();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -15,29 +15,29 @@
 /// The platform's part: it keeps the clients' socket, and passes it down as descriptor 0.
 struct Platform {
     socket: TcpListener,
-    site: Site,
+    pool: TestPool,
 }
 
 impl Platform {
     fn new() -> Platform {
-        Platform { socket: TcpListener::bind("127.0.0.1:0").unwrap(), site: site(&[77]) }
+        Platform { socket: TcpListener::bind("127.0.0.1:0").unwrap(), pool: pool(&[77]) }
     }
 
     fn start(&self) -> (Node, String) {
-        let node = launch(&config(&self.site.discovery.address()), |command| {
+        let node = launch(&config(&self.pool.discovery.address()), |command| {
             let socket = OwnedFd::from(self.socket.try_clone().unwrap());
             command
                 .stdin(Stdio::from(socket))
                 .env("NODE_PASSED_SOCKET", "0")
                 .env("NODE_ADMIN", "127.0.0.1:0");
         });
-        let line = node.logs("operators may call");
+        let line = node.wait_for_log("operators may call");
         (node, format!("127.0.0.1:{}", port(&line)))
     }
 
     fn ready(&self) -> (Node, String) {
         let (node, admin) = self.start();
-        assert!(within(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
+        assert!(wait_until(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
         (node, admin)
     }
 }
@@ -134,7 +134,7 @@
         thread::sleep(Duration::from_millis(300));
         let told = Instant::now();
         old.signal("-TERM");
-        counted += served(&old.logs("when: exit"));
+        counted += served(&old.wait_for_log("when: exit"));
         assert!(old.child.wait().unwrap().success());
         assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
         old = new;
@@ -143,7 +143,7 @@
     assert_eq!(wrong, Vec::<String>::new());
     old.signal("-TERM");
     // Each process counts its own alone. One that died before its yes served none.
-    assert_eq!(counted + served(&old.logs("when: exit")), clients);
+    assert_eq!(counted + served(&old.wait_for_log("when: exit")), clients);
     assert!(clients > 300, "{clients}");
 }
 
@@ -156,7 +156,10 @@
     old.child.kill().unwrap();
     old.child.wait().unwrap();
     for id in 0..20 {
-        assert_eq!(talk(&mut new.connect(), &format!("OPEN {id} 2 c=chat,t=acme,d=3000\r\n")), "UP 77\r\n");
+        assert_eq!(
+            exchange_line(&mut new.connect(), &format!("OPEN {id} 2 c=chat,t=acme,d=3000\r\n")),
+            "UP 77\r\n"
+        );
     }
     assert_eq!(call(&admin, "GET", "/-/ready").0, 200);
 }
@@ -172,7 +175,7 @@
     let (_new, _) = platform.ready();
     old.signal("-TERM");
     thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(talk(&mut late, "at,t=acme,d=3000\r\n"), "UP 77\r\n");
+    assert_eq!(exchange_line(&mut late, "at,t=acme,d=3000\r\n"), "UP 77\r\n");
     let mut rest = String::new();
     late.read_to_string(&mut rest).unwrap();
     assert_eq!(rest, "MOVE\r\n");
