--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -115,12 +115,12 @@
 }
 
 impl Soak {
-    /// Discovery and the members run on separate stages, so that neither delays the other.
-    fn new(seed: u64, member_stage: &StandInRuntime, discovery_stage: &StandInRuntime) -> Soak {
+    /// Discovery and the members run on separate runtimes, so that neither delays the other.
+    fn new(seed: u64, member_runtime: &StandInRuntime, discovery_runtime: &StandInRuntime) -> Soak {
         let scenario = Scenario::from_seed(seed);
-        let discovery = Discovery::start(discovery_stage).unwrap();
+        let discovery = Discovery::start(discovery_runtime).unwrap();
         let members: Vec<_> =
-            (0..2 * FAULTY_HOSTS).map(|index| Member::start(member_stage.handle(), index + 1)).collect();
+            (0..2 * FAULTY_HOSTS).map(|index| Member::start(member_runtime.handle(), index + 1)).collect();
         let slots = (0..scenario.processes)
             .map(|slot| Slot {
                 process: Arc::default(),
@@ -351,13 +351,13 @@
     let _ = std::process::Command::new("kill").args([name, &id]).stderr(std::process::Stdio::null()).status();
 }
 
-/// Starts to measure by how many milliseconds the members' stage wakes up late at worst. That delay comes
+/// Starts to measure by how many milliseconds the members' runtime wakes up late at worst. That delay comes
 /// from the machine, not from the nodes under test.
-fn measure_lateness(stage: &StandInRuntime) -> Arc<AtomicU64> {
+fn measure_lateness(runtime: &StandInRuntime) -> Arc<AtomicU64> {
     const INTERVAL: Duration = Duration::from_millis(20);
     let worst = Arc::<AtomicU64>::default();
     let recorded = worst.clone();
-    stage.handle().spawn(async move {
+    runtime.handle().spawn(async move {
         loop {
             let began = Instant::now();
             tokio::time::sleep(INTERVAL).await;
@@ -370,9 +370,10 @@
 
 /// Runs one seed for this long; returns the violations.
 fn run_seed(seed: u64, seconds: u64) -> Vec<String> {
-    let (member_stage, discovery_stage) = (StandInRuntime::new().unwrap(), StandInRuntime::new().unwrap());
-    let mut soak = Soak::new(seed, &member_stage, &discovery_stage);
-    let lateness = measure_lateness(&member_stage);
+    let (member_runtime, discovery_runtime) =
+        (StandInRuntime::new().unwrap(), StandInRuntime::new().unwrap());
+    let mut soak = Soak::new(seed, &member_runtime, &discovery_runtime);
+    let lateness = measure_lateness(&member_runtime);
     let mut clients = Vec::new();
     for (index, slot) in soak.slots.iter().enumerate() {
         let client = slot.clone();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! A node is started anew beside itself, on a socket that is passed down, under load and by the real program.
+//! Upgrades of the real process under load: a new node process starts beside the old one, on a listening
+//! socket that is passed to both.
 #[path = "common/node.rs"]
 mod process;
 
@@ -12,7 +13,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The platform's part: it keeps the clients' socket, and passes it down as descriptor 0.
+/// Takes the platform's part: keeps the listening socket for clients open, and passes it to each node process
+/// as descriptor 0.
 struct Platform {
     socket: TcpListener,
     pool: TestPool,
@@ -23,6 +25,7 @@
         Platform { socket: TcpListener::bind("127.0.0.1:0").unwrap(), pool: pool(&[77]) }
     }
 
+    /// Starts a node process; returns it and its admin address.
     fn start(&self) -> (Node, String) {
         let node = launch(&config(&self.pool.discovery.address()), |command| {
             let socket = OwnedFd::from(self.socket.try_clone().unwrap());
@@ -35,124 +38,129 @@
         (node, format!("127.0.0.1:{}", port(&line)))
     }
 
-    fn ready(&self) -> (Node, String) {
+    /// Starts a node process and waits until it is ready.
+    fn start_and_wait_until_ready(&self) -> (Node, String) {
         let (node, admin) = self.start();
         assert!(wait_until(3.0, || call(&admin, "GET", "/-/ready").0 == 200));
         (node, admin)
     }
 }
 
-/// Clients that come at their times, whatever became of those before them.
+/// Open-loop load: clients connect on a fixed schedule, independent of how earlier clients fare.
 struct Load {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicU64>,
-    wrong: Arc<Mutex<Vec<String>>>,
+    failures: Arc<Mutex<Vec<String>>>,
     driver: Option<thread::JoinHandle<()>>,
 }
 
 impl Load {
-    /// A hundred a second, each standing for 0.6 s.
+    /// Starts 100 clients per second, each of which keeps its connection for 0.6 s.
     fn start(address: String) -> Load {
-        let (stop, served, wrong): (Arc<AtomicBool>, Arc<AtomicU64>, Arc<Mutex<Vec<String>>>) =
+        let (stop, served, failures): (Arc<AtomicBool>, Arc<AtomicU64>, Arc<Mutex<Vec<String>>>) =
             Default::default();
-        let (stops, serves, wrongs) = (stop.clone(), served.clone(), wrong.clone());
+        let (driver_stop, driver_served, driver_failures) = (stop.clone(), served.clone(), failures.clone());
         let driver = thread::spawn(move || {
             let mut clients = Vec::new();
             let began = Instant::now();
             for id in 0u64.. {
-                let at = Duration::from_millis(10 * id);
-                thread::sleep(at.saturating_sub(began.elapsed()));
-                if stops.load(Relaxed) {
+                let due = Duration::from_millis(10 * id);
+                thread::sleep(due.saturating_sub(began.elapsed()));
+                if driver_stop.load(Relaxed) {
                     break;
                 }
-                let (address, serves, wrongs) = (address.clone(), serves.clone(), wrongs.clone());
-                clients.push(thread::spawn(move || match client(&address, id) {
-                    Ok(()) => drop(serves.fetch_add(1, Relaxed)),
-                    Err(what) => wrongs.lock().unwrap().push(format!("client {id}: {what}")),
+                let (address, client_served, client_failures) =
+                    (address.clone(), driver_served.clone(), driver_failures.clone());
+                clients.push(thread::spawn(move || match run_client(&address, id) {
+                    Ok(()) => drop(client_served.fetch_add(1, Relaxed)),
+                    Err(failure) => client_failures.lock().unwrap().push(format!("client {id}: {failure}")),
                 }));
             }
             clients.into_iter().for_each(|client| client.join().unwrap());
         });
-        Load { stop, served, wrong, driver: Some(driver) }
+        Load { stop, served, failures, driver: Some(driver) }
     }
 
-    fn end(mut self) -> (u64, Vec<String>) {
+    /// Stops new clients and waits for the running ones; returns how many were served, and the failures.
+    fn finish(mut self) -> (u64, Vec<String>) {
         self.stop.store(true, Relaxed);
         self.driver.take().unwrap().join().unwrap();
-        let wrong = std::mem::take(&mut *self.wrong.lock().unwrap());
-        (self.served.load(Relaxed), wrong)
+        let failures = std::mem::take(&mut *self.failures.lock().unwrap());
+        (self.served.load(Relaxed), failures)
     }
 }
 
-/// Served, and neither cut without `MOVE` nor left without an answer to its lines.
-fn client(address: &str, id: u64) -> Result<(), String> {
-    let said = |what: &'static str| move |error| format!("{what}: {error}");
-    let stream = TcpStream::connect(address).map_err(said("connect"))?;
+/// Runs one client. Fails unless the client is served, gets an echo of each of its lines, and is not cut off
+/// without `MOVE`.
+fn run_client(address: &str, id: u64) -> Result<(), String> {
+    let in_step = |step: &'static str| move |error| format!("{step}: {error}");
+    let stream = TcpStream::connect(address).map_err(in_step("connect"))?;
     stream.set_read_timeout(Some(Duration::from_secs(3))).unwrap();
     let mut stream = BufReader::new(stream);
     let mut line = String::new();
     let write = |stream: &mut BufReader<TcpStream>, text: String| {
-        stream.get_mut().write_all(text.as_bytes()).map_err(said("write"))
+        stream.get_mut().write_all(text.as_bytes()).map_err(in_step("write"))
     };
     write(&mut stream, format!("OPEN {id} 2 c=chat,t=acme,d=3000\r\n"))?;
-    stream.read_line(&mut line).map_err(said("answer"))?;
+    stream.read_line(&mut line).map_err(in_step("answer"))?;
     if line != "UP 77\r\n" {
-        return Err(format!("answered {line:?}"));
+        return Err(format!("OPEN answered with {line:?}"));
     }
     for _ in 0..6 {
         thread::sleep(Duration::from_millis(100));
-        // One that is told to move need not hear an answer to a line that it sends meanwhile.
+        // A client to which MOVE is under way need not get an echo of a line that it sends meanwhile.
         let sent = write(&mut stream, "tick\r\n".into());
         line.clear();
-        let read = stream.read_line(&mut line).map_err(said("reply"));
+        let read = stream.read_line(&mut line).map_err(in_step("reply"));
         match line.as_str() {
             "tick\r\n" => sent?,
             "MOVE\r\n" => return Ok(()),
-            other => return Err(format!("cut: {other:?} {read:?}")),
+            other => return Err(format!("cut off without MOVE: read {other:?}, {read:?}")),
         }
     }
     Ok(())
 }
 
-fn served(counters: &str) -> u64 {
-    let at = counters.split(" served=").nth(1).unwrap();
-    at.split(' ').next().unwrap().parse().unwrap()
+fn served_count(counters: &str) -> u64 {
+    let value = counters.split(" served=").nth(1).unwrap();
+    value.split(' ').next().unwrap().parse().unwrap()
 }
 
 #[test]
-fn three_upgrades_under_load_turn_nobody_away_and_cut_nobody() {
+fn three_upgrades_under_load_reject_no_client_and_cut_none_off() {
     let platform = Platform::new();
-    let (mut old, _) = platform.ready();
+    let (mut old, _) = platform.start_and_wait_until_ready();
     let load = Load::start(platform.socket.local_addr().unwrap().to_string());
-    let mut counted = 0;
+    let mut counted_by_nodes = 0;
     for _ in 0..3 {
         thread::sleep(Duration::from_millis(500));
-        // One that dies before its yes harms nobody.
+        // A process that dies before it is ready affects no client.
         drop(platform.start());
-        let (new, _) = platform.ready();
-        // Both serve for a while.
+        let (new, _) = platform.start_and_wait_until_ready();
+        // Both processes serve for a while.
         thread::sleep(Duration::from_millis(300));
-        let told = Instant::now();
+        let sigterm_at = Instant::now();
         old.signal("-TERM");
-        counted += served(&old.wait_for_log("when: exit"));
+        counted_by_nodes += served_count(&old.wait_for_log("when: exit"));
         assert!(old.child.wait().unwrap().success());
-        assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
+        assert!(sigterm_at.elapsed() < Duration::from_millis(3_700), "{:?}", sigterm_at.elapsed());
         old = new;
     }
-    let (clients, wrong) = load.end();
-    assert_eq!(wrong, Vec::<String>::new());
+    let (clients, failures) = load.finish();
+    assert_eq!(failures, Vec::<String>::new());
     old.signal("-TERM");
-    // Each process counts its own alone. One that died before its yes served none.
-    assert_eq!(counted + served(&old.wait_for_log("when: exit")), clients);
+    // Each process counts only the requests that it served itself. Those that died before they were ready
+    // served none.
+    assert_eq!(counted_by_nodes + served_count(&old.wait_for_log("when: exit")), clients);
     assert!(clients > 300, "{clients}");
 }
 
-/// Killed in place of ended, the old process takes its own clients with it and nobody else.
+/// An old process that gets SIGKILL in place of SIGTERM cuts off only its own clients.
 #[test]
 fn an_old_process_that_is_killed_leaves_the_new_one_serving() {
     let platform = Platform::new();
-    let (mut old, _) = platform.ready();
-    let (new, admin) = platform.ready();
+    let (mut old, _) = platform.start_and_wait_until_ready();
+    let (new, admin) = platform.start_and_wait_until_ready();
     old.child.kill().unwrap();
     old.child.wait().unwrap();
     for id in 0..20 {
@@ -164,20 +172,20 @@
     assert_eq!(call(&admin, "GET", "/-/ready").0, 200);
 }
 
-/// Accepted before SIGTERM and silent until after it, a client is still heard.
+/// A client that was accepted before SIGTERM and completes its request only afterwards is still served.
 #[test]
-fn a_client_that_writes_after_sigterm_is_heard() {
+fn a_request_completed_after_sigterm_is_served() {
     let platform = Platform::new();
-    let (old, _) = platform.ready();
-    let mut late = old.connect();
-    late.get_mut().write_all(b"OPEN 1 2 c=ch").unwrap();
+    let (old, _) = platform.start_and_wait_until_ready();
+    let mut client = old.connect();
+    client.get_mut().write_all(b"OPEN 1 2 c=ch").unwrap();
     thread::sleep(Duration::from_millis(200));
-    let (_new, _) = platform.ready();
+    let (_new, _) = platform.start_and_wait_until_ready();
     old.signal("-TERM");
     thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(exchange_line(&mut late, "at,t=acme,d=3000\r\n"), "UP 77\r\n");
+    assert_eq!(exchange_line(&mut client, "at,t=acme,d=3000\r\n"), "UP 77\r\n");
     let mut rest = String::new();
-    late.read_to_string(&mut rest).unwrap();
+    client.read_to_string(&mut rest).unwrap();
     assert_eq!(rest, "MOVE\r\n");
 }
 
