--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -61,8 +61,8 @@
     for outcome in ["served", "refused", "failed", "attempts"] {
         assert_eq!(metric(&admin, &format!("requests.chat.{outcome}")), 0, "reported as 0 from the start");
     }
-    let mut open: Vec<_> = (0..20).map(|id| open_connection(&node, id)).collect();
-    open.truncate(15);
+    let mut open_connections: Vec<_> = (0..20).map(|id| open_connection(&node, id)).collect();
+    open_connections.truncate(15);
     pool.members[0].refusing(true);
     let (mut refused, mut failed) = (0, 0);
     for id in 100..106 {
@@ -132,14 +132,17 @@
     assert!(node.child.try_wait().unwrap().is_none(), "the node exited after the drain");
     assert_eq!(call(&admin, "PUT", "/-/resume").0, 200);
     assert_eq!(exchange_line(&mut node.connect(), "PING\r\n"), "PONG\r\n");
-    let mut resumed = open_connection(&node, 101);
-    resumed.get_mut().set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-    assert!(resumed.read_line(&mut String::new()).is_err(), "the node moved a client after the resume");
+    let mut client_after_resume = open_connection(&node, 101);
+    client_after_resume.get_mut().set_read_timeout(Some(Duration::from_millis(500))).unwrap();
+    assert!(
+        client_after_resume.read_line(&mut String::new()).is_err(),
+        "the node moved a client after the resume"
+    );
     // After a resume in the middle of a drain, clients that have not been moved yet stay.
     assert_eq!(call(&admin, "PUT", "/-/drain").0, 200);
     assert_eq!(call(&admin, "PUT", "/-/resume").0, 200);
     thread::sleep(Duration::from_millis(3_200));
-    assert_eq!(exchange_line(&mut resumed, "tick\r\n"), "tick\r\n");
+    assert_eq!(exchange_line(&mut client_after_resume, "tick\r\n"), "tick\r\n");
     node.signal("-TERM");
     assert!(wait_until(1.0, || call(&admin, "GET", "/-/ready").0 == 503));
     assert_eq!(call(&admin, "PUT", "/-/resume").0, 409, "a resume can't undo SIGTERM");
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -10,15 +10,15 @@
 
 #[test]
 fn a_node_answers_pings_relays_connections_and_moves_them_on_sigterm() {
-    let (mut node, _site) = start();
+    let (mut node, _pool) = start();
     let connect = || node.connect();
     assert_eq!(exchange_line(&mut connect(), "PING\r\n"), "PONG\r\n");
     let mut client = connect();
     assert_eq!(exchange_line(&mut client, "OPEN 1 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
     assert_eq!(exchange_line(&mut client, "tick\r\n"), "tick\r\n");
-    let mut invalid = connect();
-    assert!(exchange_line(&mut invalid, "OPEN 1 2 c=none,t=acme,d=5000\r\n").starts_with("ERR "));
-    assert_eq!(invalid.read(&mut [0; 9]).unwrap(), 0, "the node closes the connection after ERR");
+    let mut invalid_client = connect();
+    assert!(exchange_line(&mut invalid_client, "OPEN 1 2 c=none,t=acme,d=5000\r\n").starts_with("ERR "));
+    assert_eq!(invalid_client.read(&mut [0; 9]).unwrap(), 0, "the node closes the connection after ERR");
     let sigterm_at = Instant::now();
     node.signal("-TERM");
     let mut late_client = connect();
@@ -41,7 +41,7 @@
 /// out the clients that send requests; each of them gets an error or a closed connection in time.
 #[test]
 fn silent_and_flooding_clients_are_rejected_in_time_while_requests_are_served() {
-    let (node, _site) = start();
+    let (node, _pool) = start();
     let connect = || node.connect().into_inner();
     assert_eq!(exchange_line(&mut BufReader::new(connect()), "PING\r\n"), "PONG\r\n");
     let began = Instant::now();
@@ -87,9 +87,9 @@
 /// when SIGHUP comes twice in a row. An invalid file changes nothing. Open connections are kept.
 #[test]
 fn a_new_configuration_is_applied_while_the_node_serves() {
-    let (old_site, new_site) = (pool(&[77]), pool(&[77, 88]));
-    new_site.discovery.set("s-1", &old_site.members[0].address(), "Ready");
-    let (old, new) = (old_site.discovery.address(), new_site.discovery.address());
+    let (old_pool, new_pool) = (pool(&[77]), pool(&[77, 88]));
+    new_pool.discovery.set("s-1", &old_pool.members[0].address(), "Ready");
+    let (old, new) = (old_pool.discovery.address(), new_pool.discovery.address());
     let node = start_with(&old);
     let mut kept = node.connect();
     assert_eq!(exchange_line(&mut kept, "OPEN 0 2 c=chat,t=acme,d=5000\r\n"), "UP 77\r\n");
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -146,8 +146,8 @@
                 Some((answer, stream))
             }
             other => {
-                // No answer is owed to a client of a crowded slot, nor to one that connects later after
-                // SIGTERM than new connections have to be expected.
+                // The node owes no answer in a crowded slot, nor to a client that connects when
+                // ARRIVALS_AFTER_SIGTERM has passed.
                 let late = process
                     .termination()
                     .sigterm_at
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -43,7 +43,7 @@
 /// The last lines of a process's log that are printed after a violation.
 const LOG_LINES_SHOWN: usize = 60;
 
-/// A linear congruential generator, so that a seed draws the same faults on each run.
+/// A linear congruential generator, so that a seed draws the same numbers on each run.
 struct Random(u64);
 
 impl Random {
@@ -110,7 +110,7 @@
     nodes: Vec<Option<Node>>,
     /// Threads that wait out the terminations and then send SIGKILL.
     terminations: Vec<thread::JoinHandle<()>>,
-    /// The list of members as it was at the start of the test. Every process starts with it, also later ones.
+    /// The list of members at the start of the test. Every process starts with it, however late.
     initial_list: String,
 }
 
@@ -218,7 +218,8 @@
     }
 
     /// Sends SIGTERM to a process, in some draws SIGHUP and a second SIGTERM after it, and SIGKILL as early
-    /// as it may follow. The clients use the process until then.
+    /// as it may follow. New connections come until half of `ARRIVALS_AFTER_SIGTERM` has passed; clients
+    /// that are connected use the process until SIGKILL.
     fn terminate(&mut self, slot: usize) {
         let Some(mut node) = self.nodes[slot].take() else { return };
         let current = self.slots[slot].process.clone();
