--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -221,7 +221,7 @@
                 _ if process.killed_without_sigterm() => return,
                 other => {
                     return self.record_violation(format!(
-                        "{line} at {}, {:?} and {number} lines in: {other:?}, no MOVE; SIGTERM {:?} ago, {:?}",
+                        "{line} at {}, {:?}, {number} lines in: {other:?}, no MOVE; SIGTERM {:?} ago, {:?}",
                         process.address,
                         began.elapsed(),
                         process.termination().sigterm_at.map(|sigterm_at| sigterm_at.elapsed()),
